--- a/crates/attempts/src/lib.rs
+++ b/crates/attempts/src/lib.rs
@@ -5,13 +5,13 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Served.
     Ok,
     /// The node answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
-    Full,
+    /// Rejected by the node before it ran.
+    Rejected,
     /// No answer in time; it may have run, or still run.
     Timeout,
     /// No connection; it never ran.
@@ -21,18 +21,18 @@
     /// Called off; it may have run.
     Cancelled,
     /// Not sent.
-    Moot,
+    NotSent,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 
     /// Whether the attempt might still be running.
     pub fn may_still_run(self) -> bool {
-        matches!(self, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled)
+        matches!(self, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
     }
 }
 
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct End {
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// After how many seconds.
     pub elapsed: f64,
     /// Whether the request is over.
@@ -61,7 +61,7 @@
     /// When it was sent.
     pub at: f64,
     /// How it ended; `None` while it is out.
-    pub outcome: Option<Outcome>,
+    pub outcome: Option<AttemptOutcome>,
 }
 
 /// All sends of one request, in their order.
@@ -85,7 +85,7 @@
     }
 
     /// An attempt ended. Returns it, unless it is unknown or had ended before.
-    pub fn end(&mut self, nth: usize, outcome: Outcome) -> Option<Attempt> {
+    pub fn end(&mut self, nth: usize, outcome: AttemptOutcome) -> Option<Attempt> {
         let attempt = self.0.get_mut(nth).filter(|attempt| attempt.outcome.is_none())?;
         attempt.outcome = Some(outcome);
         Some(*attempt)
@@ -113,6 +113,8 @@
 
     /// Whether a node is known to have had the whole request.
     pub fn taken(&self) -> bool {
-        self.0.iter().any(|attempt| matches!(attempt.outcome, Some(Outcome::Full | Outcome::Error)))
+        self.0
+            .iter()
+            .any(|attempt| matches!(attempt.outcome, Some(AttemptOutcome::Rejected | AttemptOutcome::Error)))
     }
 }
--- a/crates/lab/src/guard.rs
+++ b/crates/lab/src/guard.rs
@@ -6,12 +6,18 @@
 mod play;
 pub mod table;
 
-use flaxgap::api::Cold;
+use flaxgap::scheduler::SlowStartSettings;
 use rayon::prelude::*;
 use serde::Serialize;
 
 /// The guarantees that heads are told; the slowest node bears exactly what they say.
-pub const COLD: Cold = Cold { units: 24.0, span: 3.0, from: 0.17, warm_within: 16.0, multiple: 3.0 };
+pub const COLD: SlowStartSettings = SlowStartSettings {
+    units: 24.0,
+    window_s: 3.0,
+    initial_capacity: 0.17,
+    warm_up_s: 16.0,
+    overload_factor: 3.0,
+};
 /// Mean size of a request, in units: sizes are drawn evenly from 1 to 3.
 pub const MEAN_UNITS: f64 = 2.0;
 
@@ -79,7 +85,7 @@
 impl Case {
     /// The node's warm capacity, in units a second.
     pub fn capacity(&self) -> f64 {
-        self.strength * COLD.units / COLD.span / COLD.multiple / COLD.from
+        self.strength * COLD.units / COLD.window_s / COLD.overload_factor / COLD.initial_capacity
     }
 }
 
--- a/crates/lab/src/guard/play.rs
+++ b/crates/lab/src/guard/play.rs
@@ -52,7 +52,7 @@
 
 impl World<'_> {
     fn run(&mut self) -> Result<Played, String> {
-        let (before, cold) = ((BEFORE / STEP) as i32, (COLD.warm_within / STEP) as i32);
+        let (before, cold) = ((BEFORE / STEP) as i32, (COLD.warm_up_s / STEP) as i32);
         for step in -before..cold {
             let age = f64::from(step) * STEP;
             if step == 0 {
@@ -119,7 +119,7 @@
     fn look(&mut self, age: f64) {
         let mut span = self.watch.look(age, self.node.rate(age));
         if self.closest.is_none_or(|closest| span.margin > closest.margin) {
-            span.rates = self.heads.rates(age).map(|rate| rate * COLD.span);
+            span.rates = self.heads.rates(age).map(|rate| rate * COLD.window_s);
             self.closest = Some(span);
         }
     }
--- a/crates/lab/src/levels.rs
+++ b/crates/lab/src/levels.rs
@@ -5,8 +5,8 @@
 use crate::load::{Arrival, Load, Shape, Surge, draw};
 use crate::measure::{Service, service};
 use crate::sim::{Day, Fault, Played, Policy, play};
-use flaxgap_levels::Settings as Levels;
-use flaxgap_levels::report::Why;
+use flaxgap_load_shedding::Settings as Levels;
+use flaxgap_load_shedding::report::Why;
 use rayon::prelude::*;
 use serde::Serialize;
 
@@ -190,7 +190,7 @@
 
 /// Changes that are counted: pins and their ends are an operator's.
 fn changes(played: &Played, all: bool) -> usize {
-    let counted = |change: &&flaxgap_levels::report::Change| {
+    let counted = |change: &&flaxgap_load_shedding::report::Change| {
         matches!(change.why, Why::Pressed { .. } | Why::Eased { .. } | Why::Blind { .. })
             && (all || change.scope == "head")
     };
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -93,7 +93,7 @@
     for (number, volume) in fleet.volumes.iter().enumerate() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(1 + number as u64);
-        let usual = fleet.rate(volume) * volume.appetite / fleet.settings.mean_units;
+        let usual = fleet.rate(volume) * volume.appetite / fleet.settings.mean_request_units;
         let factor = |now: f64| {
             let surges = load.surges.iter().filter(|s| s.volume == number);
             let on = surges.filter(|s| now >= s.from && now < s.from + s.seconds).map(|s| s.times);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -7,7 +7,7 @@
 use flaxgap_lab::levels::{self, Plan, Row};
 use flaxgap_lab::scale;
 use flaxgap_lab::scale::args::{RoleArgs, ScaleArgs};
-use flaxgap_levels::Settings as Levels;
+use flaxgap_load_shedding::Settings as Levels;
 use std::process::ExitCode;
 use std::time::Instant;
 
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -65,7 +65,7 @@
     let mut by_volume = vec![(0.0, 0.0); fleet.volumes.len()];
     for (volume, per_second) in asked.into_iter().enumerate() {
         let plan = &settings.plans[fleet.volumes[volume].plan];
-        let most = plan.reserve + settings.most_units;
+        let most = plan.reserve + settings.max_request_units;
         let mut store = most;
         let mut limit = plan.limit.map_or(f64::INFINITY, |limit| limit.burst);
         for (second, mut numbers) in per_second.into_iter().enumerate() {
@@ -80,25 +80,26 @@
             }
             // The worthiest class takes the best of what is due.
             let class = |number: &usize| &settings.classes[of(number).class];
-            numbers.sort_by(|a, b| class(b).worth.total_cmp(&class(a).worth).then(a.cmp(b)));
-            let worths = [1.0, settings.share_worth, settings.spare_worth];
+            numbers
+                .sort_by(|a, b| class(b).priority_weight.total_cmp(&class(a).priority_weight).then(a.cmp(b)));
+            let worths = [1.0, settings.within_quota_fraction, settings.beyond_quota_fraction];
             let (mut due, mut left) = (Bands([reserved, share, spare]), Bands([reserved, share, spare]));
             let (mut got_worth, mut due_worth) = (0.0, 0.0);
             for number in &numbers {
-                let worth = class(number).worth * plan.value_factor;
+                let worth = class(number).priority_weight * plan.value_factor;
                 due_worth += worth * due.take(of(number).units, worths, true);
             }
             let served = numbers.iter().filter(|number| endings[**number].served);
             let (in_time, late): (Vec<_>, Vec<_>) =
-                served.partition(|n| endings[**n].at - of(n).at <= class(n).aim);
+                served.partition(|n| endings[**n].at - of(n).at <= class(n).latency_objective_s);
             for number in in_time {
-                let worth = class(number).worth * plan.value_factor;
+                let worth = class(number).priority_weight * plan.value_factor;
                 got_worth += worth * left.take(of(number).units, worths, true);
             }
             by_volume[volume].0 += reserved - left.0[0];
             by_volume[volume].1 += reserved;
             for number in late {
-                let worth = class(number).worth * plan.value_factor * class(number).late_worth;
+                let worth = class(number).priority_weight * plan.value_factor * class(number).late_fraction;
                 got_worth += worth * left.take(of(number).units, worths, false);
             }
             by_second[second].0 += got_worth;
--- a/crates/lab/src/scale/settings.rs
+++ b/crates/lab/src/scale/settings.rs
@@ -2,8 +2,8 @@
 
 use super::ScaleError;
 use super::nodes::{ZONES, zone_name};
-use flaxgap::api::Settings;
-use flaxgap::config::{self, WireNotes};
+use flaxgap::config::{self, WireSettings};
+use flaxgap::scheduler::SchedulerSettings;
 use serde_json::{Value, json};
 
 /// The class that the tool's requests have, and their plan.
@@ -39,7 +39,7 @@
 }
 
 /// The settings as a hollow head takes them.
-pub fn read(heads: u32) -> Result<(Settings, WireNotes), ScaleError> {
+pub fn read(heads: u32) -> Result<(SchedulerSettings, WireSettings), ScaleError> {
     let text = document(heads).to_string();
     config::read(text.as_bytes()).map_err(|problem| ScaleError::Settings(problem.to_string()))
 }
--- a/crates/levels/tests/ladder.rs
+++ b/crates/load-shedding/tests/ladder.rs
@@ -1,7 +1,7 @@
 //! The ladder over signals by chance and over signals that are meant to make it swing.
 
-use flaxgap_levels::report::Why;
-use flaxgap_levels::{Governor, Names, Of, Scope, Settings, Signal};
+use flaxgap_load_shedding::report::Why;
+use flaxgap_load_shedding::{Governor, Names, Of, Scope, Settings, Signal};
 use proptest::prelude::*;
 
 fn names() -> Names {
--- a/crates/shard-table/src/lib.rs
+++ b/crates/shard-table/src/lib.rs
@@ -9,7 +9,7 @@
 mod sorted;
 
 pub use index::WorkIndex;
-pub use list::{ListKind, NodeId, NodeInfo, NodeState, ShardId, ZoneId};
+pub use list::{Endpoint, NodeId, NodeState, ShardId, UpdateKind, ZoneId};
 use smallvec::SmallVec;
 use sorted::SortedKeys;
 use std::collections::BTreeSet;
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Server {
     /// The node; `None` while no listed one is chosen.
-    pub node: Option<NodeInfo>,
+    pub node: Option<Endpoint>,
     /// How often another node, or the same one after a start, took over.
     pub epoch: u32,
     /// When the last of these changes was heard of.
@@ -41,7 +41,7 @@
 /// large fleet are never used by a head, so it is kept small.
 #[derive(Debug)]
 pub struct Shard<L> {
-    nodes: SmallVec<[NodeInfo; 1]>,
+    nodes: SmallVec<[Endpoint; 1]>,
     serving: Option<u16>,
     epoch: u32,
     since: f64,
@@ -59,12 +59,12 @@
         Server { node: self.node().cloned(), epoch: self.epoch, since: self.since, shard_known: self.known }
     }
 
-    fn node(&self) -> Option<&NodeInfo> {
+    fn node(&self) -> Option<&Endpoint> {
         self.nodes.get(usize::from(self.serving?))
     }
 
     fn start(&self) -> Option<Start> {
-        self.node().map(|node| (node.node, node.since))
+        self.node().map(|node| (node.node, node.started_at))
     }
 
     /// Makes `node`, one of its nodes, the one that serves, and counts another node or start than `before`.
@@ -83,7 +83,7 @@
     }
 
     /// Takes in one entry of the list.
-    fn list(&mut self, info: &NodeInfo) {
+    fn list(&mut self, info: &Endpoint) {
         let place = self.nodes.binary_search_by_key(&info.node, |known| known.node);
         match (place, info.state) {
             (Ok(at), NodeState::Gone) => drop(self.nodes.remove(at)),
@@ -171,13 +171,13 @@
     /// result to the lane of each shard that the news touched.
     pub fn follow(
         &mut self,
-        kind: ListKind,
-        nodes: &[NodeInfo],
+        kind: UpdateKind,
+        nodes: &[Endpoint],
         now: f64,
-        mut choose: impl FnMut(&[NodeInfo]) -> Option<&NodeInfo>,
+        mut choose: impl FnMut(&[Endpoint]) -> Option<&Endpoint>,
         mut tell: impl FnMut(&mut L, &Server),
     ) {
-        let mut touched = if kind.replaces() { self.forget_nodes(nodes.len()) } else { Vec::new() };
+        let mut touched = if kind.is_snapshot() { self.forget_nodes(nodes.len()) } else { Vec::new() };
         touched.extend(nodes.iter().map(|info| self.list(info, now)));
         // Of what was before, the first word on each shard counts: the later ones come from the same news.
         touched.sort_by_key(|touched| touched.shard);
@@ -215,7 +215,7 @@
         touched
     }
 
-    fn list(&mut self, info: &NodeInfo, now: f64) -> Touched {
+    fn list(&mut self, info: &Endpoint, now: f64) -> Touched {
         let row = self.insert(info.shard, now);
         let shard = &mut self.shards[row as usize];
         let before = shard.start();
--- a/crates/shard-table/src/list.rs
+++ b/crates/shard-table/src/list.rs
@@ -23,37 +23,37 @@
     Gone,
 }
 
-/// One entry of the node list.
+/// One entry of the endpoint list: a node that serves a shard.
 #[derive(Clone, Debug)]
-pub struct NodeInfo {
+pub struct Endpoint {
     /// The node.
     pub node: NodeId,
     /// The shard it holds.
     pub shard: ShardId,
     /// When it last started; 0 for long ago.
-    pub since: f64,
+    pub started_at: f64,
     /// Its zone.
     pub zone: ZoneId,
     /// Whether it takes work.
     pub state: NodeState,
 }
 
-/// What kind of news about the node list came.
+/// What the entries of an endpoint update are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum UpdateKind {
     /// Changed entries only.
     Changes,
-    /// The whole list.
-    Whole,
-    /// The whole list as an earlier life last saw it; may be old.
-    Cached,
-    /// A call for the list failed, or the watch on it ended.
-    Failed,
+    /// The complete list.
+    Snapshot,
+    /// The complete list as an earlier process last saw it; may be stale.
+    CachedSnapshot,
+    /// None: a poll for the list failed, or the watch on it ended.
+    PollFailed,
 }
 
-impl ListKind {
+impl UpdateKind {
     /// Whether the entries replace all that was known.
-    pub fn replaces(self) -> bool {
-        matches!(self, ListKind::Whole | ListKind::Cached)
+    pub fn is_snapshot(self) -> bool {
+        matches!(self, UpdateKind::Snapshot | UpdateKind::CachedSnapshot)
     }
 }
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -5,36 +5,36 @@
 
 /// How a node that just started is protected.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
-    /// Units that all heads together can always send it within `span`.
+pub struct SlowStartSettings {
+    /// Units that all heads together can always send it within `window_s`.
     pub units: f64,
-    /// That span, in seconds.
-    pub span: f64,
-    /// The part of its capacity that it starts with, at least.
-    pub from: f64,
-    /// Seconds after which it is warm, at the latest.
-    pub warm_within: f64,
-    /// The multiple of its present capacity that makes it fall, sent for `span`.
-    pub multiple: f64,
+    /// The window over which its load is counted, in seconds.
+    pub window_s: f64,
+    /// Fraction of its capacity that it starts with, at least.
+    pub initial_capacity: f64,
+    /// Seconds after which it has warmed up, at the latest.
+    pub warm_up_s: f64,
+    /// The multiple of its present capacity that overloads it when sent for `window_s`.
+    pub overload_factor: f64,
 }
 
 /// Least part of its capacity that a node is taken to start with: the guarantee is divided by it.
 const MIN_START_SHARE: f64 = 0.01;
 
-impl Cold {
+impl SlowStartSettings {
     /// The part of its capacity that a node has at least for all of the span that ends so long after its start.
     /// `None`: it is warm.
     fn capacity_share(&self, age: f64) -> Option<f64> {
-        if age >= self.warm_within + self.span || self.span <= 0.0 {
+        if age >= self.warm_up_s + self.window_s || self.window_s <= 0.0 {
             return None;
         }
         let from = self.start_share();
-        let ramp = ((age - self.span).max(0.0) / self.warm_within.max(self.span)).min(1.0);
+        let ramp = ((age - self.window_s).max(0.0) / self.warm_up_s.max(self.window_s)).min(1.0);
         Some(from + (1.0 - from) * ramp)
     }
 
     fn start_share(&self) -> f64 {
-        self.from.clamp(MIN_START_SHARE, 1.0)
+        self.initial_capacity.clamp(MIN_START_SHARE, 1.0)
     }
 }
 
@@ -154,15 +154,15 @@
     /// node answers quickly; alone never more than all heads together may.
     pub fn rate(
         &self,
-        cold: &Cold,
+        cold: &SlowStartSettings,
         (heads, process_share): (f64, f64),
         now: f64,
         age: f64,
         slow: bool,
     ) -> Option<f64> {
         let capacity_share = cold.capacity_share(age)?;
-        let of_all_heads = process_share * cold.units / cold.span * capacity_share / cold.start_share();
-        let by_past = SAFETY_SHARE * cold.multiple * capacity_share * self.due_rate(now);
+        let of_all_heads = process_share * cold.units / cold.window_s * capacity_share / cold.start_share();
+        let by_past = SAFETY_SHARE * cold.overload_factor * capacity_share * self.due_rate(now);
         let own = by_past.max(of_all_heads / heads);
         if slow {
             return Some(own);
@@ -177,8 +177,15 @@
     /// head whose allowance is under one request would save it for one that seldom comes: so what is due goes ahead
     /// of the allowance with the probability that the allowance is of all that is due. Over all heads no more is
     /// due than the node's plans promise.
-    pub fn wait(&mut self, cold: &Cold, rate: f64, now: f64, (units, due): (f64, bool), sample: f64) -> f64 {
-        let bucket = units.max((1.0 - SAFETY_SHARE) * rate * cold.span);
+    pub fn wait(
+        &mut self,
+        cold: &SlowStartSettings,
+        rate: f64,
+        now: f64,
+        (units, due): (f64, bool),
+        sample: f64,
+    ) -> f64 {
+        let bucket = units.max((1.0 - SAFETY_SHARE) * rate * cold.window_s);
         let tokens = match self.tokens {
             Some(tokens) => (tokens + rate * (now - self.tokens_at)).min(bucket),
             None => sample * units,
--- a/src/config.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,12 @@
 //! What a head is told at its start: its configuration file, and the settings that it shares with the
 //! simulator's adapter. One reader serves both.
 
-use crate::api::*;
+pub mod operators_file;
+
+use crate::scheduler::{
+    Class, DeduplicationScope, Idempotency, LoadReport, Plan, RateLimit, RetryBudget, SchedulerSettings,
+    SlowStartSettings,
+};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -60,28 +65,32 @@
         _ => ("", field),
     };
     let name = match rest {
-        "hosts" => "n_instances",
+        "heads" => "n_instances",
         "tick" => "period",
         "max_attempts" => "bounds.max_attempts",
-        "max_wait" => "bounds.max_retry_after",
-        "mean_units" => "domain.unit_mean",
-        "most_units" => "domain.units_top",
-        "share_worth" => "domain.within_share",
-        "spare_worth" => "domain.idle_worth",
-        "use_period" => "domain.use_period",
-        "cold.units" => "domain.cold_units",
-        "cold.span" => "guarantees.fall",
-        "cold.from" => "guarantees.cold_from",
-        "cold.warm_within" => "guarantees.warm_within",
-        "cold.multiple" => "guarantees.tip_multiple",
-        "order_pause" => "guarantees.order_pause",
-        "ask_every" => "guarantees.ask_every",
-        "budget.free" => "guarantees.budget_free",
-        "budget.share" => "guarantees.budget_share",
-        "budget.window" => "guarantees.budget_window",
+        "max_retry_after" => "bounds.max_retry_after",
+        "mean_request_units" => "domain.unit_mean",
+        "max_request_units" => "domain.units_top",
+        "within_quota_fraction" => "domain.within_share",
+        "beyond_quota_fraction" => "domain.idle_worth",
+        "usage_period" => "domain.use_period",
+        "slow_start.units" => "domain.cold_units",
+        "slow_start.window" => "guarantees.fall",
+        "slow_start.initial_capacity" => "guarantees.cold_from",
+        "slow_start.warm_up" => "guarantees.warm_within",
+        "slow_start.overload_factor" => "guarantees.tip_multiple",
+        "ordering_pause" => "guarantees.order_pause",
+        "poll_interval" => "guarantees.ask_every",
+        "retry_budget.min_retries" => "guarantees.budget_free",
+        "retry_budget.ratio" => "guarantees.budget_share",
+        "retry_budget.window" => "guarantees.budget_window",
         "limit.rate" => "limit",
         "limit.burst" => "limit_burst",
         "limit.slack" => "cap_slack",
+        "latency_objective" => "aim",
+        "priority_weight" => "worth",
+        "late_fraction" => "late_worth",
+        "idempotency.window" => "repeat_window",
         same => same,
     };
     let list = list.replace("plans[", "service_levels[");
@@ -128,9 +137,9 @@
     /// The node list as this head had it last, in discovery's form.
     pub known: Option<serde_json::Value>,
     /// What the module is told.
-    pub settings: Settings,
+    pub settings: SchedulerSettings,
     /// What the wires need of the settings.
-    pub notes: WireNotes,
+    pub notes: WireSettings,
 }
 
 #[derive(Deserialize)]
@@ -161,7 +170,7 @@
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| field("seed", e.to_string()))?;
         let (mut settings, notes) = convert(file.settings)?;
         let clients_hold = file.limits.sockets / CLIENTS_PART;
-        settings.most_held = settings.most_held.min(clients_hold);
+        settings.max_pending = settings.max_pending.min(clients_hold);
         let ConfigFile { name, listen, ops, discovery, limits, known, .. } = file;
         Ok(Config { name, listen, ops, discovery, seed, limits, known, settings, notes })
     }
@@ -169,7 +178,7 @@
 
 /// What of the settings concerns the wires only.
 #[derive(Clone, Debug, Default)]
-pub struct WireNotes {
+pub struct WireSettings {
     /// Names of the load report's values, in their order.
     pub report_names: Vec<String>,
     /// Names of the classes, by index.
@@ -313,18 +322,20 @@
 }
 
 /// Reads the settings; the error names what is wrong.
-pub fn read(text: &[u8]) -> Result<(Settings, WireNotes), ConfigError> {
+pub fn read(text: &[u8]) -> Result<(SchedulerSettings, WireSettings), ConfigError> {
     convert(parse("settings", text)?)
 }
 
-fn convert(conf: Conf) -> Result<(Settings, WireNotes), ConfigError> {
+fn convert(conf: Conf) -> Result<(SchedulerSettings, WireSettings), ConfigError> {
     let classes = conf.classes.iter().enumerate().map(|(i, c)| class(i, c)).collect::<Result<_, _>>()?;
     let g = &conf.guarantees;
     let budget = match (g.budget_free, g.budget_share, g.budget_window) {
         (None, None, None) => None,
-        (free, share, Some(window)) => {
-            Some(Budget { free: free.unwrap_or(0.0), share: share.unwrap_or(0.0), window })
-        }
+        (free, share, Some(window)) => Some(RetryBudget {
+            min_retries: free.unwrap_or(0.0),
+            ratio: share.unwrap_or(0.0),
+            window_s: window,
+        }),
         _ => return Err(field("settings.guarantees.budget_window", "is missing")),
     };
     let ask_every = match conf.membership_mode.as_str() {
@@ -332,34 +343,34 @@
         "push" => None,
         other => return Err(field("settings.membership_mode", format!("unknown mode {other:?}"))),
     };
-    let settings = Settings {
+    let settings = SchedulerSettings {
         classes,
         plans: conf.service_levels.iter().map(plan).collect(),
-        mean_units: conf.domain.unit_mean,
-        most_units: conf.domain.units_top,
-        share_worth: conf.domain.within_share,
-        spare_worth: conf.domain.idle_worth,
-        hosts: conf.n_instances,
-        tick: conf.period,
-        most_held: conf.bounds.most_held,
+        mean_request_units: conf.domain.unit_mean,
+        max_request_units: conf.domain.units_top,
+        within_quota_fraction: conf.domain.within_share,
+        beyond_quota_fraction: conf.domain.idle_worth,
+        heads: conf.n_instances,
+        tick_s: conf.period,
+        max_pending: conf.bounds.most_held,
         max_attempts: conf.bounds.max_attempts,
-        second_copies: conf.bounds.second_copies,
-        cancel: conf.bounds.cancel,
-        probes: conf.bounds.probes,
-        reports_in_answers: conf.report.source == "answers",
-        use_period: conf.domain.use_period,
-        tells_elsewhere: conf.domain.tells_elsewhere,
-        ask_every,
-        cold: Cold {
+        hedging: conf.bounds.second_copies,
+        cancellation: conf.bounds.cancel,
+        health_checks: conf.bounds.probes,
+        load_reports_in_answers: conf.report.source == "answers",
+        usage_period_s: conf.domain.use_period,
+        reports_usage_elsewhere: conf.domain.tells_elsewhere,
+        poll_interval_s: ask_every,
+        slow_start: SlowStartSettings {
             units: conf.domain.cold_units,
-            span: g.fall,
-            from: g.cold_from,
-            warm_within: g.warm_within,
-            multiple: g.tip_multiple,
+            window_s: g.fall,
+            initial_capacity: g.cold_from,
+            warm_up_s: g.warm_within,
+            overload_factor: g.tip_multiple,
         },
-        budget,
-        order_pause: g.order_pause.unwrap_or(0.0),
-        max_wait: if conf.bounds.retry_after { conf.bounds.max_retry_after } else { 0.0 },
+        retry_budget: budget,
+        ordering_pause_s: g.order_pause.unwrap_or(0.0),
+        max_retry_after_s: if conf.bounds.retry_after { conf.bounds.max_retry_after } else { 0.0 },
     };
     settings.check().map_err(|e| field(path(&e.field), e.problem))?;
     if !(g.drain_grace >= 0.0 && g.drain_grace < 1e6) {
@@ -375,7 +386,7 @@
     let classes = conf.classes.len();
     let mut class_writes = conf.domain.changes_data;
     class_writes.resize(classes, false);
-    let notes = WireNotes {
+    let notes = WireSettings {
         report_names: conf.report.names,
         class_deadlines: conf.classes.iter().map(|c| c.deadline).collect(),
         class_names: conf.classes.into_iter().map(|c| c.name).collect(),
@@ -391,10 +402,10 @@
 
 fn class(index: usize, c: &ClassConf) -> Result<Class, ConfigError> {
     let group = match c.group.as_str() {
-        "all" => RepeatGroup::All,
-        "zone" => RepeatGroup::Zone,
+        "all" => DeduplicationScope::AllNodes,
+        "zone" => DeduplicationScope::Zone,
         // Where it is not told, the strictest.
-        "cell" | "" => RepeatGroup::Shard,
+        "cell" | "" => DeduplicationScope::Shard,
         other => {
             return Err(field(
                 format!("settings.classes[{index}].group"),
@@ -403,9 +414,9 @@
         }
     };
     let repeat = match c.idempotency.as_str() {
-        "safe" => Repeat::Safe,
-        "keyed" => Repeat::Keyed { group, window: c.repeat_window },
-        "unsafe" => Repeat::Unsafe,
+        "safe" => Idempotency::Idempotent,
+        "keyed" => Idempotency::WithKey { scope: group, window_s: c.repeat_window },
+        "unsafe" => Idempotency::NotIdempotent,
         other => {
             return Err(field(
                 format!("settings.classes[{index}].idempotency"),
@@ -414,17 +425,17 @@
         }
     };
     Ok(Class {
-        aim: c.aim,
-        deadline: c.deadline,
-        worth: c.worth,
-        late_worth: c.late_worth,
-        repeat,
-        in_order: c.fifo_by_key,
+        latency_objective_s: c.aim,
+        deadline_s: c.deadline,
+        priority_weight: c.worth,
+        late_fraction: c.late_worth,
+        idempotency: repeat,
+        ordered: c.fifo_by_key,
     })
 }
 
 fn plan(l: &Level) -> Plan {
-    let limit = Limit { rate: l.limit, burst: l.limit_burst, slack: l.cap_slack };
+    let limit = RateLimit { rate: l.limit, burst: l.limit_burst, slack: l.cap_slack };
     Plan {
         base_rate: l.base_rate,
         reserve: l.reserve,
@@ -436,13 +447,13 @@
 
 /// A load report out of names and values, as either wire names them; what the module does not know is
 /// skipped.
-pub fn report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> Report {
-    let mut report = Report::default();
+pub fn report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in values {
         match name {
-            "q" | "queue" => report.queue = Some(value),
-            "busy" | "util" => report.busy = Some(value),
-            "lat_ms" | "latency_ms" => report.latency = Some(value / 1000.0),
+            "q" | "queue" => report.queue_length = Some(value),
+            "busy" | "util" => report.utilization = Some(value),
+            "lat_ms" | "latency_ms" => report.latency_s = Some(value / 1000.0),
             _ => {}
         }
     }
--- a/src/ops.rs
+++ b/src/config/operators_file.rs
@@ -1,12 +1,12 @@
 //! The operators' file: where figures go, which script watches, the levels of reduced service, and the relays
 //! that the head follows. Everything in it is off by default.
 
-use crate::config::WireNotes;
+use crate::config::WireSettings;
 use crate::discovery::relays::settings::{Distribution, DistributionError, DistributionFile};
-use crate::export::{Collectd, Graphite};
+use crate::metrics::export::{Collectd, Graphite};
 use crate::plugin::PluginConfig;
-use flaxgap_levels::settings::LevelsFile;
-use flaxgap_levels::{Names, Settings, SettingsError};
+use flaxgap_load_shedding::settings::LevelsFile;
+use flaxgap_load_shedding::{Names, Settings, SettingsError};
 use flaxgap_streams::settings::Http2Error;
 use flaxgap_streams::{Http2, Http2File};
 use serde::Deserialize;
@@ -14,7 +14,7 @@
 
 /// An operators' file that can't be used.
 #[derive(Debug, Error)]
-pub enum OpsError {
+pub enum OperatorsFileError {
     /// The file can't be read.
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
@@ -35,7 +35,7 @@
 /// What the file may hold.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ops {
+pub struct OperatorsFile {
     /// Counters to Graphite.
     pub graphite: Option<Graphite>,
     /// Counters to collectd.
@@ -53,11 +53,13 @@
     source: (String, String),
 }
 
-impl Ops {
+impl OperatorsFile {
     /// Reads the file.
-    pub fn load(path: &str) -> Result<Ops, OpsError> {
-        let text = std::fs::read_to_string(path).map_err(|e| OpsError::Unreadable(path.into(), e))?;
-        let mut ops: Ops = toml::from_str(&text).map_err(|e| OpsError::Malformed(path.into(), e))?;
+    pub fn load(path: &str) -> Result<OperatorsFile, OperatorsFileError> {
+        let text =
+            std::fs::read_to_string(path).map_err(|e| OperatorsFileError::Unreadable(path.into(), e))?;
+        let mut ops: OperatorsFile =
+            toml::from_str(&text).map_err(|e| OperatorsFileError::Malformed(path.into(), e))?;
         ops.source = (path.into(), text);
         Ok(ops)
     }
@@ -69,7 +71,7 @@
 
     /// The levels that it settles, checked against the classes, plans and zones of the installation; none where
     /// they are off.
-    pub fn levels(&self, notes: &WireNotes) -> Result<Option<Settings>, OpsError> {
+    pub fn levels(&self, notes: &WireSettings) -> Result<Option<Settings>, OperatorsFileError> {
         let (path, text) = &self.source;
         let Some(file) = &self.levels else { return Ok(None) };
         let names = Names {
@@ -78,25 +80,25 @@
             halls: notes.zone_names.clone(),
         };
         let settings = Settings::check(file, text, &names, &notes.class_writes);
-        settings.map(Some).map_err(|problem| OpsError::Levels(path.clone(), problem))
+        settings.map(Some).map_err(|problem| OperatorsFileError::Levels(path.clone(), problem))
     }
 
     /// The front of HTTP/2 that it settles; none where it is off.
-    pub fn http2(&self) -> Result<Option<Http2>, OpsError> {
+    pub fn http2(&self) -> Result<Option<Http2>, OperatorsFileError> {
         let (path, text) = &self.source;
         let settings = self.http2.as_ref().map(|file| Http2::check(file, text)).transpose();
-        settings.map_err(|problem| OpsError::Http2(path.clone(), problem))
+        settings.map_err(|problem| OperatorsFileError::Http2(path.clone(), problem))
     }
 
     /// The relays that it has the head follow; none where the head follows discovery itself.
-    pub fn distribution(&self) -> Result<Option<Distribution>, OpsError> {
+    pub fn distribution(&self) -> Result<Option<Distribution>, OperatorsFileError> {
         let (path, text) = &self.source;
         let settings = self.distribution.as_ref().map(|file| Distribution::check(file, text)).transpose();
-        settings.map_err(|problem| OpsError::Distribution(path.clone(), problem))
+        settings.map_err(|problem| OperatorsFileError::Distribution(path.clone(), problem))
     }
 
     /// Whether anything but the levels differs.
-    pub fn restarts(&self, other: &Ops) -> bool {
+    pub fn restarts(&self, other: &OperatorsFile) -> bool {
         (&self.graphite, &self.collectd, &self.plugin) != (&other.graphite, &other.collectd, &other.plugin)
             || self.http2().ok() != other.http2().ok()
             || self.distribution().ok() != other.distribution().ok()
--- a/src/content.rs
+++ b/src/core/content.rs
@@ -148,26 +148,26 @@
 /// The data of a write.
 #[derive(Clone, Debug)]
 pub enum Payload {
-    /// Held, so that an attempt can be repeated.
-    Whole(Bytes),
-    /// Passed on as they come.
-    Passing(Rc<Upload>),
+    /// In memory, so that the request can be sent again.
+    Buffered(Bytes),
+    /// Forwarded as they arrive.
+    Streamed(Rc<Upload>),
 }
 
 impl Payload {
     /// How long the data are, as far as that is known.
     pub fn length(&self) -> u64 {
         match self {
-            Payload::Whole(bytes) => bytes.len() as u64,
-            Payload::Passing(upload) => upload.length.unwrap_or(0),
+            Payload::Buffered(bytes) => bytes.len() as u64,
+            Payload::Streamed(upload) => upload.length.unwrap_or(0),
         }
     }
 
     /// The upload, where the data are not held.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
-            Payload::Whole(_) => None,
-            Payload::Passing(upload) => Some(upload),
+            Payload::Buffered(_) => None,
+            Payload::Streamed(upload) => Some(upload),
         }
     }
 }
--- a/src/core.rs
+++ b/src/core/mod.rs
@@ -4,13 +4,18 @@
 //! hand. A front takes a [`Call`] out of its protocol and awaits [`Dispatcher::serve`]; a [`Transport`]
 //! carries attempts to nodes. Everything runs on one thread.
 
+pub mod content;
+
 use crate::Scheduler;
-use crate::api::*;
-use crate::content::{Content, Payload, Upload};
-use crate::counters::{Counters, Final, Flight, LevelGauges};
-use crate::monitor::{Gauges, Monitor};
+use crate::core::content::{Content, Payload, Upload};
+use crate::metrics::counters::{Counters, FinalOutcome, InFlightRequest, SheddingGauges};
+use crate::scheduler::{
+    Action, AttemptOutcome, Class, ClassId, Event, ExtentId, Idempotency, IoRequest, LoadReport, NodeId,
+    PlanId, RequestId, SchedulerSettings, SchedulerSettingsError, ShardId, SheddingLevel, VolumeId,
+};
+use crate::shedding::monitor::{Gauges, LoadMonitor};
 use bytes::Bytes;
-use flaxgap_levels::report::Change;
+use flaxgap_load_shedding::report::Change;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -84,7 +89,7 @@
 
 /// What an attempt does to the data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verb {
+pub enum Operation {
     /// Reads it.
     Read,
     /// Writes it.
@@ -93,15 +98,15 @@
 
 /// What goes to a node unchanged.
 #[derive(Clone, Debug)]
-pub struct Envelope {
+pub struct NodeRequest {
     /// Read or write.
-    pub verb: Verb,
+    pub operation: Operation,
     /// The object's name, as nodes know it.
     pub target: String,
     /// The request's id among all heads, as the client words it.
     pub id: Bytes,
     /// The key by which nodes know a repeat.
-    pub repeat_key: Option<Bytes>,
+    pub idempotency_key: Option<Bytes>,
     /// The data of a write.
     pub payload: Payload,
 }
@@ -109,7 +114,7 @@
 /// Whoever waits for an answer, as its front knows it.
 pub trait Client: fmt::Debug {
     /// Whether it still does, at this moment.
-    fn waits(&self) -> bool;
+    fn is_connected(&self) -> bool;
 }
 
 /// A request as a front hands it over.
@@ -127,100 +132,111 @@
     pub shard: Option<ShardId>,
     /// Its size.
     pub units: f64,
-    /// Hosts that the volume's requests come through.
-    pub hosts: u32,
-    /// Whether it is marked as a client's repeat.
-    pub repeat: bool,
+    /// Number of heads that the volume's requests come through.
+    pub heads: u32,
+    /// Whether the client marked it as a retry of its own.
+    pub client_retry: bool,
     /// When the client stops waiting.
     pub deadline: Instant,
     /// Who waits for it, where the front can tell at any moment; otherwise a client that leaves drops the call.
     pub client: Option<Rc<dyn Client>>,
-    /// What goes to the node.
-    pub envelope: Rc<Envelope>,
+    /// What is sent to the node.
+    pub node_request: Rc<NodeRequest>,
 }
 
 /// How an attempt ended, and what came with it.
 #[derive(Debug)]
-pub struct Reply {
+pub struct AttemptResult {
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// The body of a served request.
     pub body: Content,
-    /// The meter's figure, in multiples of the plan's rate.
-    pub used: Option<f64>,
+    /// What the volume was served over all heads, in multiples of its plan's base rate.
+    pub usage: Option<f64>,
     /// The node's load report.
-    pub report: Report,
+    pub load_report: LoadReport,
 }
 
-impl Reply {
+impl AttemptResult {
     /// An attempt that brought nothing back.
-    pub fn empty(outcome: Outcome) -> Reply {
-        Reply { outcome, body: Bytes::new().into(), used: None, report: Report::default() }
+    pub fn empty(outcome: AttemptOutcome) -> AttemptResult {
+        AttemptResult { outcome, body: Bytes::new().into(), usage: None, load_report: LoadReport::default() }
     }
 }
 
 /// How much of an attempt's request has been written to its node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteProgress {
     /// Nothing: as far as the node goes, there was no attempt.
     #[default]
     Nothing,
     /// Some: the node can't have begun.
-    Part,
+    Partial,
     /// All: it may have run.
-    All,
+    Complete,
 }
 
 /// Why an attempt's first byte may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Late {
+pub enum PermitExpired {
     /// Its time is over.
     Deadline,
-    /// The time in which its class lets it be sent again is over.
-    Window,
-    /// The head is past its last moment.
-    End,
-    /// Its client has left.
-    Client,
+    /// The time in which its class allows a retry is over.
+    RetryWindow,
+    /// The head has to have answered everything by now.
+    Shutdown,
+    /// Its client has disconnected.
+    ClientDisconnected,
 }
 
 /// An attempt's leave to begin, as the core knows it, and what has become of it. A transport asks it right before the
 /// first byte: a connection may have taken long to come up, and what held when the module chose may hold no more.
 #[derive(Debug)]
-pub struct Permit {
+pub struct SendPermit {
     /// By when the attempt ends.
-    pub until: Instant,
+    pub expires_at: Instant,
     /// By when it has to have begun: for a further attempt, the end of its class's retry window.
-    pub window: Option<Instant>,
+    pub retry_window_ends_at: Option<Instant>,
     /// When the head is to have answered all; set while the attempt may be out.
-    pub last: Rc<Cell<Option<Instant>>>,
+    pub shutdown_deadline: Rc<Cell<Option<Instant>>>,
     /// Who waits for it.
     pub client: Option<Rc<dyn Client>>,
     /// What of it was written, for the core to read when the attempt is over.
-    pub written: Cell<Written>,
+    pub written: Cell<WriteProgress>,
 }
 
-impl Permit {
+impl SendPermit {
     /// For an attempt that has all its time, whose client waits.
-    pub fn until(until: Instant) -> Permit {
-        Permit { until, window: None, last: Rc::default(), client: None, written: Cell::default() }
+    pub fn until(until: Instant) -> SendPermit {
+        SendPermit {
+            expires_at: until,
+            retry_window_ends_at: None,
+            shutdown_deadline: Rc::default(),
+            client: None,
+            written: Cell::default(),
+        }
     }
 
     /// Why it may not begin at this moment, if it may not.
-    pub fn late(&self, now: Instant) -> Option<Late> {
+    pub fn expired(&self, now: Instant) -> Option<PermitExpired> {
         let over = |at: Option<Instant>| at.is_some_and(|at| now >= at);
         match self {
-            _ if over(Some(self.until)) => Some(Late::Deadline),
-            _ if over(self.window) => Some(Late::Window),
-            _ if over(self.last.get()) => Some(Late::End),
-            _ if self.client.as_ref().is_some_and(|client| !client.waits()) => Some(Late::Client),
+            _ if over(Some(self.expires_at)) => Some(PermitExpired::Deadline),
+            _ if over(self.retry_window_ends_at) => Some(PermitExpired::RetryWindow),
+            _ if over(self.shutdown_deadline.get()) => Some(PermitExpired::Shutdown),
+            _ if self.client.as_ref().is_some_and(|client| !client.is_connected()) => {
+                Some(PermitExpired::ClientDisconnected)
+            }
             _ => None,
         }
     }
 
     /// The latest moment at which it makes sense to wait for a way to the node.
     pub fn begin_by(&self) -> Instant {
-        [self.window, self.last.get()].into_iter().flatten().fold(self.until, Instant::min)
+        [self.retry_window_ends_at, self.shutdown_deadline.get()]
+            .into_iter()
+            .flatten()
+            .fold(self.expires_at, Instant::min)
     }
 }
 
@@ -229,31 +245,36 @@
     /// One attempt. It ends by its permit's time, or, once it has begun to pass data on that are not held, when these
     /// say so; before its first byte it asks the permit, and it notes there what it has written. Dropping it calls it
     /// off: when the drop returns, nothing of it can reach the node any more. It never sends twice.
-    fn send(&self, node: NodeId, envelope: &Envelope, permit: &Rc<Permit>) -> impl Future<Output = Reply>;
+    fn send(
+        &self,
+        node: NodeId,
+        envelope: &NodeRequest,
+        permit: &Rc<SendPermit>,
+    ) -> impl Future<Output = AttemptResult>;
 }
 
 /// The one final answer.
 #[derive(Debug)]
 pub enum Answer {
     /// Served: the node's body. Whoever passes it on settles the request.
-    Served(Content, Flight),
+    Served(Content, InFlightRequest),
     /// Turned away; trying again does no harm.
-    Refused {
-        /// Seconds after which a try makes sense; 0 where nothing is known.
-        wait: f64,
+    Rejected {
+        /// Seconds after which a retry makes sense; 0 where nothing is known.
+        retry_after_s: f64,
     },
     /// Failed; it may have run.
     Failed,
 }
 
-fn failed(flight: &Flight) -> Answer {
-    flight.settle(Final::Failed);
+fn failed(flight: &InFlightRequest) -> Answer {
+    flight.settle(FinalOutcome::Failed);
     Answer::Failed
 }
 
-fn refused(wait: f64, flight: &Flight) -> Answer {
-    flight.settle(Final::Refused);
-    Answer::Refused { wait: wait.clamp(0.0, LONGEST_WAIT) }
+fn refused(wait: f64, flight: &InFlightRequest) -> Answer {
+    flight.settle(FinalOutcome::Rejected);
+    Answer::Rejected { retry_after_s: wait.clamp(0.0, LONGEST_WAIT) }
 }
 
 /// The module's word on one request.
@@ -311,7 +332,7 @@
     woken: Notify,
     counters: Rc<Counters>,
     observer: RefCell<Option<Rc<dyn Observer>>>,
-    monitor: RefCell<Option<Monitor>>,
+    monitor: RefCell<Option<LoadMonitor>>,
     /// What the module has taken of the core since the monitor began.
     spent: Cell<Duration>,
     finish_by: watch::Sender<Option<Instant>>,
@@ -326,18 +347,18 @@
 impl Dispatcher {
     /// A dispatcher for a scheduler made with these settings.
     pub fn new(
-        settings: Settings,
+        settings: SchedulerSettings,
         seed: u64,
         clock: Clock,
         counters: Rc<Counters>,
-    ) -> Result<Rc<Dispatcher>, SettingsError> {
-        let tick = seconds(settings.tick);
-        let window = |class: &Class| match class.repeat {
-            Repeat::Keyed { window, .. } => Some(seconds(window)),
-            Repeat::Safe | Repeat::Unsafe => None,
+    ) -> Result<Rc<Dispatcher>, SchedulerSettingsError> {
+        let tick = seconds(settings.tick_s);
+        let window = |class: &Class| match class.idempotency {
+            Idempotency::WithKey { window_s: window, .. } => Some(seconds(window)),
+            Idempotency::Idempotent | Idempotency::NotIdempotent => None,
         };
         let windows = settings.classes.iter().map(window).collect();
-        let longest = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+        let longest = settings.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
         let known_for = KNOWN_FOR.max(seconds(longest) + OVERDUE);
         let scheduler = Scheduler::new(settings, seed, clock.now())?;
         let (mailboxes, wakes, pending) = (HashMap::new(), BinaryHeap::new(), Vec::new());
@@ -370,22 +391,22 @@
     }
 
     /// Has a monitor keep the levels of reduced service from now on; none leaves all at normal.
-    pub fn monitor(&self, monitor: Option<Monitor>) {
+    pub fn monitor(&self, monitor: Option<LoadMonitor>) {
         self.monitor.replace(monitor);
         self.spent.set(Duration::ZERO);
-        self.counters.set_levels(LevelGauges::default());
-        self.tell(&[Event::Level(Level::default())]);
+        self.counters.set_levels(SheddingGauges::default());
+        self.tell(&[Event::SheddingLevelChanged(SheddingLevel::default())]);
     }
 
     /// The monitor, for an operator's call, at this moment of the module's clock; none where levels are off.
-    pub fn monitored<R>(&self, call: impl FnOnce(&mut Monitor, f64) -> R) -> Option<R> {
+    pub fn monitored<R>(&self, call: impl FnOnce(&mut LoadMonitor, f64) -> R) -> Option<R> {
         self.monitor.borrow_mut().as_mut().map(|monitor| call(monitor, self.clock.now()))
     }
 
     /// Tells the module of the levels in force, if it has not heard of them yet.
     pub fn apply_level(&self) {
         let level = self.monitored(|monitor, now| monitor.moved(now)).flatten();
-        level.into_iter().for_each(|level| self.tell(&[Event::Level(level)]));
+        level.into_iter().for_each(|level| self.tell(&[Event::SheddingLevelChanged(level)]));
     }
 
     /// Looks at the signals and tells the module what follows; the levels that changed. `memory` and
@@ -394,17 +415,17 @@
         let gauges = Gauges { memory, descriptors, module: self.spent.get().as_secs_f64() };
         let looked = self.monitored(|monitor, now| {
             let state = self.state.borrow();
-            self.counters.withheld.follow(state.scheduler.withheld());
-            let looked = monitor.look(now, state.scheduler.kept(), gauges);
+            self.counters.withheld.follow(state.scheduler.shed_requests());
+            let looked = monitor.look(now, state.scheduler.reserved_work_stats(), gauges);
             let ((level, halls), pinned) = (monitor.governor().rungs(), monitor.governor().pinned());
             let [level, halls, pinned] = [level, halls, pinned].map(|count| count as u64);
-            self.counters.set_levels(LevelGauges { level, halls, pinned });
+            self.counters.set_levels(SheddingGauges { level, halls, pinned });
             self.counters.level_changes.follow(monitor.governor().total());
             looked
         });
         let looked = looked.unwrap_or_default();
         if let Some(level) = looked.level {
-            self.tell(&[Event::Level(level)]);
+            self.tell(&[Event::SheddingLevelChanged(level)]);
         }
         looked.changes
     }
@@ -459,7 +480,7 @@
         let state = &mut *self.state.borrow_mut();
         let (now, first) = (Instant::now(), state.pending.is_empty());
         state.pending.extend_from_slice(events);
-        if now < state.next_call && !events.iter().any(|e| matches!(e, Event::Nodes { .. })) {
+        if now < state.next_call && !events.iter().any(|e| matches!(e, Event::EndpointUpdate { .. })) {
             if first {
                 state.wakes.push(Reverse(state.next_call));
                 self.woken.notify_one();
@@ -476,7 +497,7 @@
         }
         for action in actions {
             let (request, choice) = match action {
-                Action::Send { request, node, abandon_at } => {
+                Action::Send { request, node, expires_at: abandon_at } => {
                     let Some(mailbox) = state.mailboxes.get_mut(&request) else { continue };
                     let attempt = mailbox.sends;
                     mailbox.sends += 1;
@@ -484,9 +505,9 @@
                     (request, Choice::Send { attempt, node, abandon_at, at: Instant::now() })
                 }
                 Action::Cancel { request, .. } => (request, Choice::Cancel),
-                Action::Refuse { request, wait } => (request, Choice::Refuse { wait }),
+                Action::Reject { request, retry_after_s: wait } => (request, Choice::Refuse { wait }),
                 Action::Fail { request } => (request, Choice::Fail),
-                Action::WakeUp { delay } => {
+                Action::WakeUp { delay_s: delay } => {
                     let due = Instant::now() + seconds(delay);
                     if state.wakes.peek().is_none_or(|Reverse(first)| due < *first) {
                         self.woken.notify_one();
@@ -495,7 +516,7 @@
                     continue;
                 }
                 // Discovery is watched from the start, and nodes of this wire may not be probed.
-                Action::WatchNodes | Action::Probe { .. } => continue,
+                Action::PollEndpoints | Action::CheckHealth { .. } => continue,
                 Action::Log(text) => {
                     log::info!("module: {text}");
                     continue;
@@ -527,14 +548,19 @@
 
     /// One request's life, from its taking to its one final answer. Dropping it tells the module that
     /// the client has gone.
-    pub async fn serve<T: Transport>(self: &Rc<Self>, transport: &T, call: Call, flight: Flight) -> Answer {
+    pub async fn serve<T: Transport>(
+        self: &Rc<Self>,
+        transport: &T,
+        call: Call,
+        flight: InFlightRequest,
+    ) -> Answer {
         flight.take();
         let (mut ticket, taken_at) = (self.take(&call), Instant::now());
         let observer = self.observer.borrow().clone();
         if let Some(observer) = &observer {
             observer.taken(&call);
         }
-        let upload = call.envelope.payload.upload();
+        let upload = call.node_request.payload.upload();
         let passing = || upload.is_some_and(|upload| upload.spent());
         let mut finished = std::pin::pin!(self.finished());
         let (mut overdue, mut cut) = (call.deadline + OVERDUE, false);
@@ -557,16 +583,16 @@
             };
             match choice {
                 Choice::Send { attempt, node, abandon_at, at } => {
-                    let permit = Rc::new(Permit {
-                        until: self.clock.instant(abandon_at).min(overdue),
-                        window,
-                        last: self.last.clone(),
+                    let permit = Rc::new(SendPermit {
+                        expires_at: self.clock.instant(abandon_at).min(overdue),
+                        retry_window_ends_at: window,
+                        shutdown_deadline: self.last.clone(),
                         client: call.client.clone(),
                         written: Cell::default(),
                     });
                     // The mail comes first: an attempt called off before its first byte is never written.
                     // A request that is held is not to carry the room of its attempt.
-                    let mut sending = Box::pin(transport.send(node, &call.envelope, &permit));
+                    let mut sending = Box::pin(transport.send(node, &call.node_request, &permit));
                     let ended = loop {
                         tokio::select! {
                             biased;
@@ -575,7 +601,7 @@
                             () = finished.as_mut(), if !passing() => break None,
                             // Data that pass on take their time; the module's clock for it stops.
                             () = started(upload) => {
-                                self.tell(&[Event::Started { request: ticket.id }]);
+                                self.tell(&[Event::StreamingStarted { request: ticket.id }]);
                             }
                         }
                     };
@@ -602,14 +628,14 @@
                             break if ran { failed(&flight) } else { refused(0.0, &flight) };
                         }
                         Some(Ok(reply)) => {
-                            let served = reply.outcome == Outcome::Ok;
+                            let served = reply.outcome == AttemptOutcome::Ok;
                             self.report(&ticket, attempt, &reply, upload);
                             if served {
                                 break Answer::Served(reply.body, flight);
                             }
                         }
                         Some(Err((later, outcome))) => {
-                            self.report(&ticket, attempt, &Reply::empty(outcome), upload);
+                            self.report(&ticket, attempt, &AttemptResult::empty(outcome), upload);
                             match later {
                                 Choice::Refuse { wait } => break refused(wait, &flight),
                                 Choice::Fail => break failed(&flight),
@@ -645,23 +671,23 @@
         };
         let ticket = Ticket { dispatcher: self.clone(), id, mail, answered: false };
         let remaining = call.deadline.saturating_duration_since(Instant::now()).as_secs_f64();
-        self.tell(&[Event::Request(Request {
+        self.tell(&[Event::RequestArrived(IoRequest {
             id,
             class: call.class,
             plan: call.plan,
             volume: call.volume,
             extent: call.extent,
             shard: call.shard,
-            remaining,
+            remaining_s: remaining,
             units: call.units,
-            hosts: call.hosts,
-            repeat: call.repeat,
+            heads: call.heads,
+            client_retry: call.client_retry,
         })]);
         ticket
     }
 
     /// Reports an attempt's end, unless the module was told of it before.
-    fn report(&self, ticket: &Ticket, attempt: usize, reply: &Reply, upload: Option<&Rc<Upload>>) {
+    fn report(&self, ticket: &Ticket, attempt: usize, reply: &AttemptResult, upload: Option<&Rc<Upload>>) {
         let out = {
             let mut state = self.state.borrow_mut();
             let mailbox = state.mailboxes.get_mut(&ticket.id);
@@ -676,25 +702,25 @@
             None if last => self.clock.now(),
             None => sent_at,
         };
-        self.tell(&[Event::Outcome {
+        self.tell(&[Event::AttemptEnded {
             request: ticket.id,
             attempt,
             outcome: reply.outcome,
-            elapsed: self.clock.now() - from,
-            done: reply.outcome == Outcome::Ok,
-            last,
-            used: reply.used,
-            elsewhere: 0.0,
-            report: reply.report,
+            elapsed_s: self.clock.now() - from,
+            request_done: reply.outcome == AttemptOutcome::Ok,
+            not_resendable: last,
+            usage: reply.usage,
+            usage_elsewhere: 0.0,
+            load_report: reply.load_report,
         }]);
     }
 }
 
 /// How an attempt ended that was called off: one that its node never had whole can't have run.
-fn called_off(permit: &Permit) -> Outcome {
+fn called_off(permit: &SendPermit) -> AttemptOutcome {
     match permit.written.get() {
-        Written::Nothing | Written::Part => Outcome::Moot,
-        Written::All => Outcome::Cancelled,
+        WriteProgress::Nothing | WriteProgress::Partial => AttemptOutcome::NotSent,
+        WriteProgress::Complete => AttemptOutcome::Cancelled,
     }
 }
 
@@ -719,11 +745,11 @@
     fn drop(&mut self) {
         let dispatcher = self.dispatcher.clone();
         if !self.answered {
-            dispatcher.tell(&[Event::ClientGone { request: self.id }]);
+            dispatcher.tell(&[Event::ClientDisconnected { request: self.id }]);
         }
         let out = dispatcher.state.borrow().mailboxes.get(&self.id).and_then(|m| m.out);
         if let Some((attempt, _)) = out {
-            dispatcher.report(self, attempt, &Reply::empty(Outcome::Cancelled), None);
+            dispatcher.report(self, attempt, &AttemptResult::empty(AttemptOutcome::Cancelled), None);
         }
         dispatcher.state.borrow_mut().mailboxes.remove(&self.id);
     }
--- a/src/daemon.rs
+++ b/src/daemon/mod.rs
@@ -1,28 +1,28 @@
 //! The program from start to exit, as named phases of one object.
 
-use crate::api::Settings;
-use crate::bans::Bans;
 use crate::config::Config;
+use crate::config::operators_file::{OperatorsFile, OperatorsFileError};
 use crate::core::{Clock, Dispatcher};
-use crate::counters::Counters;
-use crate::descriptors::Budget;
-use crate::discovery::Directory;
+use crate::discovery::EndpointDirectory;
 use crate::discovery::relays::RelayFollower;
 use crate::discovery::schedule::PollSchedule;
-use crate::export;
-use crate::front::block::BlockFront;
-use crate::front::block::config::{BlockConfigError, Target};
-use crate::front::http::HttpFront;
-use crate::front::http2::Http2Front;
-use crate::front::ops::OpsFront;
-use crate::front::request::Desk;
+use crate::exclusions::Exclusions;
+use crate::frontend::admin::AdminServer;
+use crate::frontend::block::BlockFrontend;
+use crate::frontend::block::config::{BlockConfigError, Target};
+use crate::frontend::http::HttpFrontend;
+use crate::frontend::http2::Http2Frontend;
+use crate::frontend::request::FrontendContext;
 use crate::handover::{Handover, Shared};
-use crate::levels::Levels;
-use crate::memory::Memory;
-use crate::node::Nodes;
-use crate::ops::{Ops, OpsError};
-use crate::phases::{Phase, Phases};
+use crate::lifecycle::{Lifecycle, Phase};
+use crate::metrics::counters::Counters;
+use crate::metrics::export;
+use crate::node::NodeTransport;
 use crate::plugin::{Plugin, PluginError};
+use crate::resources::descriptors::DescriptorBudget;
+use crate::resources::memory::BodyMemory;
+use crate::scheduler::SchedulerSettings;
+use crate::shedding::controller::SheddingController;
 use flaxgap_distribution::selection::RelayListError;
 use flaxgap_membership::Source;
 use flaxgap_membership::wire::List;
@@ -71,13 +71,13 @@
     Plugin(#[from] PluginError),
     /// The operators' file can't be used.
     #[error(transparent)]
-    Ops(#[from] OpsError),
+    OperatorsFile(#[from] OperatorsFileError),
     /// Relays that can't be followed.
     #[error("relays: {0}")]
     Relays(#[from] RelayListError),
     /// Settings that can't be served.
     #[error(transparent)]
-    Settings(#[from] crate::api::SettingsError),
+    SchedulerSettings(#[from] crate::scheduler::SchedulerSettingsError),
 }
 
 /// What the program is told by signals. Taken before all else: one that comes earlier ends the program.
@@ -106,21 +106,21 @@
     path: String,
     name: String,
     listen: SocketAddr,
-    settings: Settings,
+    settings: SchedulerSettings,
     discovery: watch::Sender<SocketAddr>,
-    budget: Rc<Budget>,
-    memory: Rc<Memory>,
+    budget: Rc<DescriptorBudget>,
+    memory: Rc<BodyMemory>,
     counters: Rc<Counters>,
-    ops: Ops,
-    levels: Rc<Levels>,
-    directory: Rc<Directory>,
+    ops: OperatorsFile,
+    levels: Rc<SheddingController>,
+    directory: Rc<EndpointDirectory>,
 }
 
 impl Running {
     /// Reads the files again. If one of them can't be used, nothing of either changes.
     fn reload(&self) {
         let config = Config::load(&self.path);
-        let ops = self.ops.path().map_or(Ok(Ops::default()), Ops::load);
+        let ops = self.ops.path().map_or(Ok(OperatorsFile::default()), OperatorsFile::load);
         let read = config.map_err(|problem| problem.to_string()).and_then(|config| {
             let levels = ops.and_then(|ops| {
                 ops.http2()?;
@@ -162,9 +162,9 @@
     path: String,
     config: Config,
     block: Option<String>,
-    ops: Ops,
+    ops: OperatorsFile,
     folder: Option<PathBuf>,
-    phases: Rc<Phases>,
+    phases: Rc<Lifecycle>,
     counters: Rc<Counters>,
 }
 
@@ -176,7 +176,7 @@
         path: String,
         config: Config,
         block: Option<String>,
-        ops: Ops,
+        ops: OperatorsFile,
         folder: Option<PathBuf>,
     ) -> Daemon {
         let counters = Counters::new(&config.notes.class_names);
@@ -187,39 +187,39 @@
     pub async fn run(self, signals: Signals) -> Result<(), DaemonError> {
         let Daemon { path, config, block, ops, folder, phases, counters } = self;
         let Signals { mut terminate, mut interrupt, mut reread, mut ask } = signals;
-        let longest = config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+        let longest = config.settings.classes.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
         let (settings, notes) = (config.settings, config.notes);
         let (level_settings, http2) = (ops.levels(&notes)?, ops.http2()?);
         let distribution = ops.distribution()?;
         let block = block.map(|path| Target::load(&path, &settings, &notes)).transpose()?;
         let dispatcher = Dispatcher::new(settings.clone(), config.seed, Clock::start(), counters.clone())?;
-        let budget = Budget::new(config.limits.descriptors(), counters.clone());
-        let memory = Memory::new(config.limits.memory_mb);
+        let budget = DescriptorBudget::new(config.limits.descriptors(), counters.clone());
+        let memory = BodyMemory::new(config.limits.memory_mb);
         let (connect_timeout, conn_idle) = (notes.connect_timeout, notes.conn_idle);
-        let nodes = Nodes::new(
+        let nodes = NodeTransport::new(
             budget.clone(),
             memory.clone(),
             counters.clone(),
             connect_timeout,
             conn_idle,
-            settings.hosts,
+            settings.heads,
         );
         let zones = notes.zone_names.clone();
-        let bans = Rc::new(Bans::load(folder.as_deref(), &config.name));
-        let directory = Directory::new(
+        let bans = Rc::new(Exclusions::load(folder.as_deref(), &config.name));
+        let directory = EndpointDirectory::new(
             dispatcher.clone(),
             nodes.clone(),
             counters.clone(),
             bans.clone(),
             zones,
             PollSchedule::new(
-                settings.hosts,
+                settings.heads,
                 config.seed,
-                settings.ask_every.is_some() || distribution.is_some(),
+                settings.poll_interval_s.is_some() || distribution.is_some(),
                 crate::core::seconds(notes.drain_grace),
             ),
         );
-        let levels = Levels::new(
+        let levels = SheddingController::new(
             dispatcher.clone(),
             budget.clone(),
             memory.clone(),
@@ -239,7 +239,7 @@
         let handover = Handover::new(folder.as_deref(), &config.name, shared);
         if let Some(address) = config.ops {
             let listener = listen(address, "ops", None, false)?;
-            let door = OpsFront::new(
+            let door = AdminServer::new(
                 phases.clone(),
                 counters.clone(),
                 directory.clone(),
@@ -266,7 +266,7 @@
             sockets.push(listener.clone());
             let (dispatcher, nodes, phases) = (dispatcher.clone(), nodes.clone(), phases.clone());
             let (budget, counters) = (budget.clone(), counters.clone());
-            let front = BlockFront::new(dispatcher, nodes, target, phases, budget, counters, config.seed);
+            let front = BlockFrontend::new(dispatcher, nodes, target, phases, budget, counters, config.seed);
             spawn_local(front.listen(listener));
         }
 
@@ -293,7 +293,7 @@
             levels: levels.clone(),
             directory: directory.clone(),
         };
-        let desk = Rc::new(Desk {
+        let desk = Rc::new(FrontendContext {
             dispatcher: dispatcher.clone(),
             transport: nodes.clone(),
             notes,
@@ -303,9 +303,9 @@
             counters: counters.clone(),
         });
         if let Some((listener, settings)) = http2 {
-            spawn_local(Http2Front::new(desk.clone(), settings).listen(listener));
+            spawn_local(Http2Frontend::new(desk.clone(), settings).listen(listener));
         }
-        let front = Rc::new(HttpFront { desk: desk.clone() });
+        let front = Rc::new(HttpFrontend { desk: desk.clone() });
         let keep_time = spawn_local(async move { dispatcher.keep_time().await });
         let look = spawn_local(async move { levels.keep().await });
         let sweep = spawn_local(async move { nodes.sweep().await });
@@ -447,7 +447,7 @@
 
 /// Gets the node list, from its source or else from the earlier life, then follows its changes.
 async fn obtain_list(
-    directory: Rc<Directory>,
+    directory: Rc<EndpointDirectory>,
     known: Option<serde_json::Value>,
     source: ListSource,
     serve: impl FnOnce(),
@@ -461,7 +461,7 @@
     });
     let stands = known.is_some_and(|list| {
         let serves = !list.entries.is_empty();
-        directory.apply(list, &mut Source::default(), crate::api::ListKind::Cached);
+        directory.apply(list, &mut Source::default(), crate::scheduler::UpdateKind::CachedSnapshot);
         serves
     });
     let ready = async {
@@ -486,7 +486,7 @@
 }
 
 /// What the log says of an earlier list where relays are followed.
-fn standing(directory: &Directory) -> String {
+fn standing(directory: &EndpointDirectory) -> String {
     let Some(relays) = directory.relays_reachable() else { return String::new() };
     let relays = if relays == 0 { "no relay is reachable".into() } else { format!("{relays} relays speak") };
     format!(": version {}, read {:?} ago; {relays}", directory.version(), directory.list_age())
--- a/src/discovery/client/counted.rs
+++ b/src/discovery/client/counted.rs
@@ -1,7 +1,7 @@
 //! Connections to discovery over TCP, with what goes over them counted.
 
 use super::Dial;
-use crate::counters::Counters;
+use crate::metrics::counters::Counters;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -1,13 +1,13 @@
 //! Discovery: the whole node list, then a watch on its changes, for as long as the program runs.
 
 use super::client::{CountedTcp, Dial, Query, Subscription, Update};
-use crate::api::*;
-use crate::bans::Bans;
 use crate::core::{Clock, Dispatcher};
-use crate::counters::Counters;
 use crate::discovery::schedule::PollSchedule;
 use crate::discovery::whole::Whole;
-use crate::node::{Nodes, Place};
+use crate::exclusions::Exclusions;
+use crate::metrics::counters::Counters;
+use crate::node::{NodeAddress, NodeTransport};
+use crate::scheduler::{Endpoint, Event, NodeId, NodeState, ShardId, UpdateKind, ZoneId};
 use flaxgap_distribution::intake::Intake;
 use flaxgap_membership::compact::CompactList;
 use flaxgap_membership::wire::State;
@@ -27,11 +27,11 @@
 type Observer = Box<dyn Fn(u64)>;
 
 /// Keeps the module's list and the transport's places in step with discovery and with the operators' bans.
-pub struct Directory {
+pub struct EndpointDirectory {
     dispatcher: Rc<Dispatcher>,
-    nodes: Rc<Nodes>,
+    nodes: Rc<NodeTransport>,
     counters: Rc<Counters>,
-    bans: Rc<Bans>,
+    bans: Rc<Exclusions>,
     /// The nodes as the lists have them, without what operators say of them.
     membership: RefCell<Membership>,
     /// Turns true with the first list that discovery itself gives.
@@ -45,20 +45,20 @@
     observer: RefCell<Option<Observer>>,
 }
 
-impl Directory {
+impl EndpointDirectory {
     /// Knows nothing yet; `zones` are the settings' names, in their order.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
-        nodes: Rc<Nodes>,
+        nodes: Rc<NodeTransport>,
         counters: Rc<Counters>,
-        bans: Rc<Bans>,
+        bans: Rc<Exclusions>,
         zones: Vec<String>,
         schedule: PollSchedule,
-    ) -> Rc<Directory> {
+    ) -> Rc<EndpointDirectory> {
         let heard = watch::Sender::new(false);
         let membership = RefCell::new(Membership::with_zones(&zones));
         let (changed, last_message) = (Cell::new(Instant::now()), Cell::new(Instant::now()));
-        Rc::new(Directory {
+        Rc::new(EndpointDirectory {
             dispatcher,
             nodes,
             counters,
@@ -128,21 +128,22 @@
     pub fn bans_changed(&self) {
         let nodes: Vec<Node> = self.membership.borrow().nodes().collect();
         let nodes = nodes.iter().map(|node| self.settle(node)).collect();
-        self.dispatcher.tell(&[Event::Nodes { kind: ListKind::Changes, nodes }]);
+        self.dispatcher.tell(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints: nodes }]);
     }
 
     /// A listed node as it is to be used, told to the transport: one that is out is left as one that drains
     /// is, and one that is back has started anew, whatever the list says yet.
-    fn settle(&self, node: &Node) -> NodeInfo {
+    fn settle(&self, node: &Node) -> Endpoint {
         let mut info = node_info(node);
         if self.bans.holds(&node.name) {
             info.state = NodeState::Draining;
         }
-        info.since = self.bans.returned(&node.name).map_or(info.since, |at| info.since.max(at));
+        info.started_at =
+            self.bans.returned(&node.name).map_or(info.started_at, |at| info.started_at.max(at));
         match node.address {
             Some(address) => {
                 let name = node.name.clone();
-                self.nodes.place(info.node, Place { name, address, state: info.state });
+                self.nodes.place(info.node, NodeAddress { name, address, state: info.state });
             }
             None => self.nodes.forget(info.node),
         }
@@ -150,18 +151,18 @@
     }
 
     /// A node that is gone, or has left this shard's queue; the transport forgets it.
-    fn withdraw(&self, node: &Node) -> NodeInfo {
-        let info = NodeInfo { state: NodeState::Gone, ..node_info(node) };
+    fn withdraw(&self, node: &Node) -> Endpoint {
+        let info = Endpoint { state: NodeState::Gone, ..node_info(node) };
         self.nodes.forget(info.node);
         info
     }
 
     /// Takes in a list: the transport first, so that nothing is written to a node that just left. Only what changes is
     /// told to transport and module, one by one, also of a whole list.
-    pub fn apply(&self, list: impl Into<CompactList>, source: &mut Source, kind: ListKind) {
+    pub fn apply(&self, list: impl Into<CompactList>, source: &mut Source, kind: UpdateKind) {
         let list = list.into();
         let now = self.dispatcher.clock().now();
-        let first = kind == ListKind::Cached || !*self.heard.borrow();
+        let first = kind == UpdateKind::CachedSnapshot || !*self.heard.borrow();
         if list.is_empty() && list.unread.is_empty() && !list.all && !first {
             self.membership.borrow_mut().apply(&list, source, now);
             return self.in_force();
@@ -170,12 +171,13 @@
         self.changed.set(Instant::now());
         self.report_unread(&list);
         let changes = self.membership.borrow_mut().apply(&list, source, now);
-        let nodes: Vec<NodeInfo> = changes.into_iter().flat_map(|change| self.change(change)).collect();
+        let nodes: Vec<Endpoint> = changes.into_iter().flat_map(|change| self.change(change)).collect();
         if first || !nodes.is_empty() {
-            self.dispatcher.tell(&[Event::Nodes { kind, nodes }]);
+            self.dispatcher.tell(&[Event::EndpointUpdate { kind, endpoints: nodes }]);
         }
         self.in_force();
-        self.heard.send_if_modified(|heard| kind != ListKind::Cached && !std::mem::replace(heard, true));
+        self.heard
+            .send_if_modified(|heard| kind != UpdateKind::CachedSnapshot && !std::mem::replace(heard, true));
     }
 
     fn report_unread(&self, list: &CompactList) {
@@ -190,7 +192,7 @@
 
     /// What a change makes of the nodes that module and transport know. One that holds another shard than before has
     /// left the queue that it had.
-    fn change(&self, change: NodeChange) -> impl Iterator<Item = NodeInfo> + use<> {
+    fn change(&self, change: NodeChange) -> impl Iterator<Item = Endpoint> + use<> {
         let (left, stays) = match &change {
             NodeChange::Departed(node) => (Some(self.withdraw(node)), None),
             NodeChange::Updated { node, left_shard } => {
@@ -323,7 +325,7 @@
             };
             log::info!("discovery: version {}, {} entries, {kind}", list.rev, list.len());
         }
-        self.apply(list, told, ListKind::Changes);
+        self.apply(list, told, UpdateKind::Changes);
         progress.since = told.cursor();
         let was_behind = std::mem::replace(&mut progress.behind, told.is_behind());
         if progress.behind && !was_behind {
@@ -393,8 +395,8 @@
 }
 
 /// A listed node as module and transport know it, before the operators' bans.
-fn node_info(node: &Node) -> NodeInfo {
+fn node_info(node: &Node) -> Endpoint {
     let state = if node.state == State::Ready { NodeState::Ready } else { NodeState::Draining };
     let (id, shard, zone) = (NodeId(u64::from(node.id)), ShardId(node.shard), ZoneId(node.zone));
-    NodeInfo { node: id, shard, since: node.boot, zone, state }
+    Endpoint { node: id, shard, started_at: node.boot, zone, state }
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -8,4 +8,4 @@
 pub mod schedule;
 pub mod whole;
 
-pub use directory::Directory;
+pub use directory::EndpointDirectory;
--- a/src/discovery/relays.rs
+++ b/src/discovery/relays.rs
@@ -1,13 +1,13 @@
-//! The head follows relays in place of discovery itself: watches on two of them feed one [`Directory`]. Which relays
+//! The head follows relays in place of discovery itself: watches on two of them feed one [`EndpointDirectory`]. Which relays
 //! those are, and when a watch is opened or given up, is decided by [`Selection`]; here its watches are run and what
 //! becomes of them is reported to it.
 
 pub mod settings;
 
-use crate::counters::Counters;
 use crate::discovery::client::{CallError, CountedTcp, Subscription, Update};
-use crate::discovery::directory::{Directory, Progress};
+use crate::discovery::directory::{EndpointDirectory, Progress};
 use crate::discovery::schedule::PollSchedule;
+use crate::metrics::counters::Counters;
 use flaxgap_distribution::intake::Verdict;
 use flaxgap_distribution::selection::{Directive, LostReason, RelayListError, Selection, Slot};
 use settings::Distribution;
@@ -42,7 +42,7 @@
 
 /// Keeps two watches on relays.
 pub struct RelayFollower {
-    directory: Rc<Directory>,
+    directory: Rc<EndpointDirectory>,
     selection: Selection,
     schedule: Rc<PollSchedule>,
     watches: HashMap<Slot, AbortHandle>,
@@ -55,7 +55,7 @@
 impl RelayFollower {
     /// Follows nothing yet. The seed sets this head's delays apart from those of others.
     pub fn new(
-        directory: Rc<Directory>,
+        directory: Rc<EndpointDirectory>,
         head_name: &str,
         distribution: &Distribution,
         seed: u64,
@@ -161,7 +161,7 @@
 struct Watch {
     slot: Slot,
     address: SocketAddr,
-    directory: Rc<Directory>,
+    directory: Rc<EndpointDirectory>,
     schedule: Rc<PollSchedule>,
     reports: mpsc::Sender<(Slot, Report)>,
 }
--- a/src/discovery/relays/tests.rs
+++ b/src/discovery/relays/tests.rs
@@ -1,13 +1,13 @@
 //! Tests of one watch against a relay in the test's own thread.
 
 use super::*;
-use crate::api::ListKind;
-use crate::bans::Bans;
 use crate::core::{Clock, Dispatcher};
-use crate::counters::Counters;
-use crate::descriptors::Budget;
-use crate::memory::Memory;
-use crate::node::Nodes;
+use crate::exclusions::Exclusions;
+use crate::metrics::counters::Counters;
+use crate::node::NodeTransport;
+use crate::resources::descriptors::DescriptorBudget;
+use crate::resources::memory::BodyMemory;
+use crate::scheduler::UpdateKind;
 use flaxgap_distribution::selection::{Locality, RelayInfo};
 use flaxgap_membership::Source;
 use flaxgap_membership::wire::List;
@@ -30,14 +30,21 @@
  "n_instances":1,"period":0.002,"report":{"names":["rif"],"source":"answers"},"zones":["a"],
  "service_levels":[{"base_rate":400.0,"name":"network","reserve":400.0,"value_factor":0.9,"weight":3.0}]}"#;
 
-fn directory() -> Rc<Directory> {
+fn directory() -> Rc<EndpointDirectory> {
     let (settings, notes) = crate::config::read(SETTINGS.as_bytes()).expect("settings");
     let counters = Counters::new(&notes.class_names);
-    let budget = Budget::new(100, counters.clone());
-    let nodes = Nodes::new(budget, Memory::new(64), counters.clone(), 0.5, 15.0, 1);
+    let budget = DescriptorBudget::new(100, counters.clone());
+    let nodes = NodeTransport::new(budget, BodyMemory::new(64), counters.clone(), 0.5, 15.0, 1);
     let dispatcher = Dispatcher::new(settings, 1, Clock::start(), counters.clone()).expect("served");
     let schedule = PollSchedule::new(1, 1, true, Duration::ZERO);
-    Directory::new(dispatcher, nodes, counters, Rc::new(Bans::load(None, "n0")), vec!["a".into()], schedule)
+    EndpointDirectory::new(
+        dispatcher,
+        nodes,
+        counters,
+        Rc::new(Exclusions::load(None, "n0")),
+        vec!["a".into()],
+        schedule,
+    )
 }
 
 fn list(rev: u64, all: bool, name: &str, state: &str) -> String {
@@ -72,7 +79,7 @@
 
 /// Runs a watch on a relay that the test plays.
 fn with_watch<F: Future<Output = ()>>(
-    test: impl FnOnce(Rc<Directory>, TcpListener, mpsc::Receiver<(Slot, Report)>) -> F,
+    test: impl FnOnce(Rc<EndpointDirectory>, TcpListener, mpsc::Receiver<(Slot, Report)>) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -102,7 +109,7 @@
     });
 }
 
-async fn reaches(directory: &Directory, version: u64) {
+async fn reaches(directory: &EndpointDirectory, version: u64) {
     let reached = async {
         while directory.version() < version {
             tokio::time::sleep(Duration::from_millis(2)).await;
@@ -120,7 +127,7 @@
         first.say(&list(1, true, "s-1", "ready")).await;
         reaches(&directory, 1).await;
         let other = List::parse(list(3, false, "s-1", "draining").as_bytes()).expect("a list");
-        directory.apply(other, &mut Source::at(1), ListKind::Changes);
+        directory.apply(other, &mut Source::at(1), UpdateKind::Changes);
         first.say(&list(4, false, "s-2", "ready")).await;
         let mut second = Call::accept(&listener).await;
         assert!(second.line.contains("follow=1&since=3"), "{}", second.line);
--- a/src/bans.rs
+++ b/src/exclusions.rs
@@ -23,17 +23,17 @@
 
 /// The bans, and where they are kept.
 #[derive(Debug, Default)]
-pub struct Bans {
+pub struct Exclusions {
     path: Option<PathBuf>,
     saved: RefCell<Saved>,
 }
 
-impl Bans {
+impl Exclusions {
     /// The bans of the head of this name, as an earlier process left them in the folder. Without a folder they
     /// last as long as the process.
-    pub fn load(folder: Option<&Path>, name: &str) -> Bans {
+    pub fn load(folder: Option<&Path>, name: &str) -> Exclusions {
         let path = folder.map(|folder| folder.join(format!("flaxgap-{name}.bans")));
-        let bans = Bans { path, saved: RefCell::default() };
+        let bans = Exclusions { path, saved: RefCell::default() };
         bans.reload();
         bans
     }
--- a/src/front/ops.rs
+++ b/src/frontend/admin.rs
@@ -3,12 +3,12 @@
 //! Its connections have slots of their own beside the budget of descriptors, so that neither load nor clients
 //! delay it. When all are taken, the caller that has kept one longest without a whole call gives it up.
 
-use crate::counters::Counters;
-use crate::descriptors::FOR_OPERATORS;
-use crate::discovery::Directory;
+use crate::discovery::EndpointDirectory;
 use crate::handover::Handover;
-use crate::levels::{Hold, Levels};
-use crate::phases::{Phase, Phases};
+use crate::lifecycle::{Lifecycle, Phase};
+use crate::metrics::counters::Counters;
+use crate::resources::descriptors::FOR_OPERATORS;
+use crate::shedding::controller::{Hold, SheddingController};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -35,29 +35,29 @@
 const LONGEST_HEAD: usize = 8 * 1024;
 
 /// What all calls share.
-pub struct OpsFront {
-    phases: Rc<Phases>,
+pub struct AdminServer {
+    phases: Rc<Lifecycle>,
     counters: Rc<Counters>,
-    directory: Rc<Directory>,
+    directory: Rc<EndpointDirectory>,
     handover: Rc<Handover>,
-    levels: Rc<Levels>,
+    levels: Rc<SheddingController>,
     /// Connections without a whole call, the oldest first.
     waiting: RefCell<VecDeque<Rc<Notify>>>,
     free: Arc<Semaphore>,
 }
 
-impl OpsFront {
+impl AdminServer {
     /// A door without callers.
     pub fn new(
-        phases: Rc<Phases>,
+        phases: Rc<Lifecycle>,
         counters: Rc<Counters>,
-        directory: Rc<Directory>,
+        directory: Rc<EndpointDirectory>,
         handover: Rc<Handover>,
-        levels: Rc<Levels>,
-    ) -> Rc<OpsFront> {
+        levels: Rc<SheddingController>,
+    ) -> Rc<AdminServer> {
         let free = Arc::new(Semaphore::new(FOR_OPERATORS));
         let waiting = RefCell::default();
-        Rc::new(OpsFront { phases, counters, directory, handover, levels, waiting, free })
+        Rc::new(AdminServer { phases, counters, directory, handover, levels, waiting, free })
     }
 
     /// Accepts callers for as long as it is polled.
@@ -156,7 +156,7 @@
     }
 }
 
-impl OpsFront {
+impl AdminServer {
     /// Pins a level or releases it, as the query says.
     fn hold_level(&self, pin: bool, query: &str) -> Response<Full<Bytes>> {
         let wanted: &[&str] =
--- a/src/front/block/config.rs
+++ b/src/frontend/block/config.rs
@@ -1,7 +1,7 @@
 //! `deploy/block.toml`: where the block front listens, and which volumes its logical units show.
 
-use crate::api::*;
-use crate::config::WireNotes;
+use crate::config::WireSettings;
+use crate::scheduler::{ClassId, ExtentId, PlanId, SchedulerSettings, ShardId, VolumeId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -127,13 +127,21 @@
 
 impl Target {
     /// Reads the file; the settings give plans, classes and the largest request.
-    pub fn load(path: &str, set: &Settings, notes: &WireNotes) -> Result<Target, BlockConfigError> {
+    pub fn load(
+        path: &str,
+        set: &SchedulerSettings,
+        notes: &WireSettings,
+    ) -> Result<Target, BlockConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| BlockConfigError::Unreadable(path.into(), e))?;
         Target::parse(&text, set, notes)
     }
 
     /// Reads the file's text.
-    pub fn parse(text: &str, set: &Settings, notes: &WireNotes) -> Result<Target, BlockConfigError> {
+    pub fn parse(
+        text: &str,
+        set: &SchedulerSettings,
+        notes: &WireSettings,
+    ) -> Result<Target, BlockConfigError> {
         let file: File = toml::from_str(text)?;
         let bad = |field, problem: &str| Err(BlockConfigError::Field(field, problem.into()));
         if !file.block_size.is_power_of_two() || !(512..=4096).contains(&file.block_size) {
@@ -150,7 +158,7 @@
         }
         let class = |writes: bool| {
             let place = notes.class_writes.iter().position(|w| *w == writes);
-            place.map(|i| (ClassId(i), notes.class_names[i].clone(), set.classes[i].deadline))
+            place.map(|i| (ClassId(i), notes.class_names[i].clone(), set.classes[i].deadline_s))
         };
         let (Some(reads), Some(writes)) = (class(false), class(true)) else {
             return bad("settings", "no class for reads or none for writes");
@@ -195,7 +203,7 @@
             max_sessions: file.max_sessions,
             luns,
             classes: [reads, writes],
-            most_units: set.most_units,
+            most_units: set.max_request_units,
         })
     }
 
--- a/src/front/block/connection.rs
+++ b/src/frontend/block/connection.rs
@@ -3,7 +3,7 @@
 
 use super::error::SessionError;
 use super::pdu::{BHS, Codec, LONGEST_SEGMENT, NO_TAG, Pdu, response};
-use crate::front::closing::Shared;
+use crate::frontend::closing::Shared;
 use bytes::BytesMut;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/front/block/listener.rs
+++ b/src/frontend/block/listener.rs
@@ -1,9 +1,9 @@
 //! Accepts initiators and serves each connection to its end.
 
 use super::session;
-use super::shared::BlockFront;
+use super::shared::BlockFrontend;
 use crate::core::Transport;
-use crate::front::closing::{self, Why};
+use crate::frontend::closing::{self, Why};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -11,7 +11,7 @@
 /// Pause after the system would not give a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-impl<T: Transport + 'static> BlockFront<T> {
+impl<T: Transport + 'static> BlockFrontend<T> {
     /// Accepts initiators for as long as it is polled.
     pub async fn listen(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
--- a/src/front/block/mod.rs
+++ b/src/frontend/block/mod.rs
@@ -14,4 +14,4 @@
 pub mod session;
 mod shared;
 
-pub use shared::BlockFront;
+pub use shared::BlockFrontend;
--- a/src/front/block/scsi.rs
+++ b/src/frontend/block/scsi.rs
@@ -1,7 +1,7 @@
 //! The SCSI side: which command a CDB holds, what a logical unit answers by itself, and sense data.
 
 use super::config::{Lun, Place, Target};
-use crate::core::Verb;
+use crate::core::Operation;
 
 /// SCSI status codes (SAM-5).
 pub mod status {
@@ -50,7 +50,7 @@
     /// Answered by the target itself with this data.
     Here(Vec<u8>),
     /// Blocks to read or write in one extent.
-    Blocks(Verb, Place),
+    Blocks(Operation, Place),
 }
 
 fn number(bytes: &[u8]) -> u64 {
@@ -87,15 +87,22 @@
             data.resize(32, 0);
             at_most(data, number(&cdb[10..14]))
         }
-        0x28 => span(target, lun, Verb::Read, cdb[1], number(&cdb[2..6]), number(&cdb[7..9])),
-        0x2a => span(target, lun, Verb::Write, cdb[1], number(&cdb[2..6]), number(&cdb[7..9])),
-        0x88 => span(target, lun, Verb::Read, cdb[1], number(&cdb[2..10]), number(&cdb[10..14])),
-        0x8a => span(target, lun, Verb::Write, cdb[1], number(&cdb[2..10]), number(&cdb[10..14])),
+        0x28 => span(target, lun, Operation::Read, cdb[1], number(&cdb[2..6]), number(&cdb[7..9])),
+        0x2a => span(target, lun, Operation::Write, cdb[1], number(&cdb[2..6]), number(&cdb[7..9])),
+        0x88 => span(target, lun, Operation::Read, cdb[1], number(&cdb[2..10]), number(&cdb[10..14])),
+        0x8a => span(target, lun, Operation::Write, cdb[1], number(&cdb[2..10]), number(&cdb[10..14])),
         _ => Err(INVALID_OPERATION),
     }
 }
 
-fn span(target: &Target, lun: &Lun, verb: Verb, flags: u8, lba: u64, count: u64) -> Result<Command, Sense> {
+fn span(
+    target: &Target,
+    lun: &Lun,
+    verb: Operation,
+    flags: u8,
+    lba: u64,
+    count: u64,
+) -> Result<Command, Sense> {
     if flags >> 5 != 0 {
         return Err(INVALID_FIELD); // protection information, which the units don't have
     }
--- a/src/front/block/session.rs
+++ b/src/frontend/block/session.rs
@@ -11,7 +11,7 @@
 use super::login::{self, Params};
 use super::pdu::{NO_TAG, Pdu, PduError, request, response as opcode};
 use super::registry::SessionHandle;
-use super::shared::BlockFront;
+use super::shared::BlockFrontend;
 use crate::core::Transport;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -33,7 +33,7 @@
 
 /// One session of the target.
 struct Session<T> {
-    front: Rc<BlockFront<T>>,
+    front: Rc<BlockFrontend<T>>,
     connection: Connection,
     params: Params,
     tsih: u16,
@@ -46,7 +46,7 @@
 
 /// Serves one connection to its end.
 pub async fn serve<T: Transport + 'static>(
-    front: Rc<BlockFront<T>>,
+    front: Rc<BlockFrontend<T>>,
     stream: Rc<TcpStream>,
 ) -> Result<(), SessionError> {
     stream.set_nodelay(true)?;
--- a/src/front/block/session/command.rs
+++ b/src/frontend/block/session/command.rs
@@ -4,12 +4,12 @@
 use super::super::error::SessionError;
 use super::super::pdu::{NO_TAG, Pdu};
 use super::super::scsi::{self, Command};
-use super::super::shared::BlockFront;
+use super::super::shared::BlockFrontend;
 use super::Session;
 use super::task::{BlockCommand, CommandResult, Finished, Task, WriteTransfer};
-use crate::content::Payload;
-use crate::core::{Answer, Call, Envelope, Transport, Verb, seconds};
-use crate::counters::Final;
+use crate::core::content::Payload;
+use crate::core::{Answer, Call, NodeRequest, Operation, Transport, seconds};
+use crate::metrics::counters::FinalOutcome;
 use bytes::{Bytes, BytesMut};
 use std::rc::Rc;
 use tokio::time::{Instant, timeout_at};
@@ -51,7 +51,7 @@
                 self.finish(end(CommandResult::Good { data: data.into(), moved })).await
             }
             Ok(Command::Blocks(verb, place)) => {
-                let class = &self.front.target.classes[usize::from(verb == Verb::Write)];
+                let class = &self.front.target.classes[usize::from(verb == Operation::Write)];
                 let deadline = arrived + seconds(class.2);
                 let (lun, cmd_sn) = (pdu.lun().unwrap_or(0), pdu.at(24));
                 let command = BlockCommand { task, lun, cmd_sn, verb, place, deadline, expected_length };
@@ -78,12 +78,12 @@
     /// Begins a read, or a write with the data that came with it.
     async fn move_blocks(&mut self, pdu: &Pdu, command: BlockCommand) -> Result<(), SessionError> {
         let BlockCommand { task, verb, place, expected_length, .. } = command;
-        let direction = if verb == Verb::Write { WRITE } else { READ };
-        if pdu.flags() & direction == 0 || verb == Verb::Write && expected_length < place.length {
+        let direction = if verb == Operation::Write { WRITE } else { READ };
+        if pdu.flags() & direction == 0 || verb == Operation::Write && expected_length < place.length {
             let result = CommandResult::Check(scsi::INVALID_FIELD);
             return self.finish(Finished { task, expected_length, result }).await;
         }
-        if verb == Verb::Read {
+        if verb == Operation::Read {
             self.start(command, Bytes::new());
             return Ok(());
         }
@@ -119,19 +119,19 @@
         let front = &self.front;
         let BlockCommand { task, cmd_sn, verb, place, deadline, .. } = *command;
         let lun = front.target.lun(command.lun)?;
-        let (class, class_name, _) = &front.target.classes[usize::from(verb == Verb::Write)];
+        let (class, class_name, _) = &front.target.classes[usize::from(verb == Operation::Write)];
         let target = format!(
             "/{class_name}/{:016x}/{:016x}?offset={}&length={}",
             lun.volume.0, place.extent.0, place.offset, place.length
         );
         // Unique for each command, and the same for each of its attempts.
-        let key = (verb == Verb::Write).then(|| format!("{}-{}-{cmd_sn}-{task}", front.life, self.tsih));
-        let envelope = Envelope {
-            verb,
+        let key = (verb == Operation::Write).then(|| format!("{}-{}-{cmd_sn}-{task}", front.life, self.tsih));
+        let envelope = NodeRequest {
+            operation: verb,
             target,
             id: front.fresh_id(),
-            repeat_key: key.map(Bytes::from),
-            payload: Payload::Whole(payload),
+            idempotency_key: key.map(Bytes::from),
+            payload: Payload::Buffered(payload),
         };
         Some(Call {
             class: *class,
@@ -140,43 +140,43 @@
             extent: Some(place.extent).filter(|extent| extent.0 != 0),
             shard: Some(place.shard),
             units: place.units,
-            hosts: lun.hosts,
-            repeat: false,
+            heads: lun.hosts,
+            client_retry: false,
             deadline,
             client: None,
-            envelope: Rc::new(envelope),
+            node_request: Rc::new(envelope),
         })
     }
 }
 
 /// Serves one command's request to its end.
 async fn execute<T: Transport + 'static>(
-    front: &BlockFront<T>,
+    front: &BlockFrontend<T>,
     call: Call,
     command: &BlockCommand,
 ) -> CommandResult {
     let length = command.place.length;
     let flight = front.counters.flight(call.class);
     match front.dispatcher.serve(&*front.transport, call, flight).await {
-        Answer::Served(_, flight) if command.verb == Verb::Write => {
-            flight.settle(Final::Served);
+        Answer::Served(_, flight) if command.verb == Operation::Write => {
+            flight.settle(FinalOutcome::Served);
             CommandResult::Good { data: Bytes::new(), moved: length }
         }
         Answer::Served(content, flight) => {
             let whole = timeout_at(command.deadline, content.whole(length)).await.ok().flatten();
             match whole.filter(|data| data.len() == length) {
                 Some(data) => {
-                    flight.settle(Final::Served);
+                    flight.settle(FinalOutcome::Served);
                     CommandResult::Good { data, moved: length }
                 }
                 None => {
-                    flight.settle(Final::Failed);
+                    flight.settle(FinalOutcome::Failed);
                     log::warn!("block: not the {length} bytes that were to be read");
                     CommandResult::Check(scsi::READ_ERROR)
                 }
             }
         }
-        Answer::Refused { wait } => CommandResult::Refused { wait },
+        Answer::Rejected { retry_after_s: wait } => CommandResult::Refused { wait },
         Answer::Failed => CommandResult::Check(scsi::NO_ANSWER),
     }
 }
--- a/src/front/block/session/task.rs
+++ b/src/frontend/block/session/task.rs
@@ -2,7 +2,7 @@
 
 use super::super::config::Place;
 use super::super::scsi::Sense;
-use crate::core::Verb;
+use crate::core::Operation;
 use bytes::{Bytes, BytesMut};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
@@ -55,7 +55,7 @@
     /// The command's number (CmdSN).
     pub cmd_sn: u32,
     /// Read or write.
-    pub verb: Verb,
+    pub verb: Operation,
     /// Where its blocks lie.
     pub place: Place,
     /// When it is answered at the latest.
--- a/src/front/block/shared.rs
+++ b/src/frontend/block/shared.rs
@@ -4,15 +4,15 @@
 use super::login::Params;
 use super::registry::{InitiatorPort, SessionHandle, SessionRegistry};
 use crate::core::{Dispatcher, Transport};
-use crate::counters::Counters;
-use crate::descriptors::Budget;
-use crate::phases::Phases;
+use crate::lifecycle::Lifecycle;
+use crate::metrics::counters::Counters;
+use crate::resources::descriptors::DescriptorBudget;
 use bytes::Bytes;
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// What all sessions share.
-pub struct BlockFront<T> {
+pub struct BlockFrontend<T> {
     /// The core.
     pub dispatcher: Rc<Dispatcher>,
     /// The way to the nodes.
@@ -20,9 +20,9 @@
     /// The target and its logical units.
     pub target: Target,
     /// The program's phase.
-    pub phases: Rc<Phases>,
+    pub phases: Rc<Lifecycle>,
     /// The descriptors.
-    pub budget: Rc<Budget>,
+    pub budget: Rc<DescriptorBudget>,
     /// The counts.
     pub counters: Rc<Counters>,
     /// This life of the head, in keys: no two lives give the same one.
@@ -31,20 +31,30 @@
     sessions: SessionRegistry,
 }
 
-impl<T: Transport + 'static> BlockFront<T> {
+impl<T: Transport + 'static> BlockFrontend<T> {
     /// A front without sessions; `seed` makes ids and keys of this life its own.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         transport: Rc<T>,
         target: Target,
-        phases: Rc<Phases>,
-        budget: Rc<Budget>,
+        phases: Rc<Lifecycle>,
+        budget: Rc<DescriptorBudget>,
         counters: Rc<Counters>,
         seed: u64,
-    ) -> Rc<BlockFront<T>> {
+    ) -> Rc<BlockFrontend<T>> {
         let life = format!("{seed:016x}");
         let (ids, sessions) = (Cell::new(seed), SessionRegistry::default());
-        Rc::new(BlockFront { dispatcher, transport, target, phases, budget, counters, life, ids, sessions })
+        Rc::new(BlockFrontend {
+            dispatcher,
+            transport,
+            target,
+            phases,
+            budget,
+            counters,
+            life,
+            ids,
+            sessions,
+        })
     }
 
     /// An id that no other request has: the next of a stream that visits every number once (splitmix64).
--- a/src/front/closing.rs
+++ b/src/frontend/closing.rs
@@ -3,7 +3,7 @@
 //! can be lost with that. Nothing that comes after the end is served; its client has seen the end and comes again on
 //! another connection.
 
-use crate::counters::Counters;
+use crate::metrics::counters::Counters;
 use std::future::Future;
 use std::io;
 use std::net::Shutdown;
--- a/src/front/http.rs
+++ b/src/frontend/http.rs
@@ -1,10 +1,10 @@
 //! The platform's front: HTTP/1.1, as a tower service over hyper.
 
 use crate::core::{Client, Transport};
-use crate::descriptors::Slot;
-use crate::front::closing::{self, Why};
-use crate::front::intake::{Conversation, Intake, LONGEST_HEAD, MOST_FIELDS};
-use crate::front::request::{Desk, Outgoing};
+use crate::frontend::closing::{self, Why};
+use crate::frontend::intake::{Conversation, Intake, LONGEST_HEAD, MOST_FIELDS};
+use crate::frontend::request::{FrontendContext, Outgoing};
+use crate::resources::descriptors::ConnectionSlot;
 use flaxgap_streams::frames::{Head, kind};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -32,9 +32,9 @@
 const HEARD: Duration = Duration::from_millis(5);
 
 /// The HTTP/1.1 front.
-pub struct HttpFront<T> {
+pub struct HttpFrontend<T> {
     /// What it shares with other fronts.
-    pub desk: Rc<Desk<T>>,
+    pub desk: Rc<FrontendContext<T>>,
 }
 
 /// What a client of HTTP/2 is told here: its first SETTINGS, then GOAWAY with HTTP_1_1_REQUIRED (RFC 9113, section 7).
@@ -47,8 +47,8 @@
 
 /// One connection's service.
 struct Service<T> {
-    front: Rc<HttpFront<T>>,
-    slot: Rc<Slot>,
+    front: Rc<HttpFrontend<T>>,
+    slot: Rc<ConnectionSlot>,
     scarce: Rc<Notify>,
     conversation: Rc<Conversation>,
 }
@@ -100,7 +100,7 @@
     }
 }
 
-impl<T: Transport + 'static> HttpFront<T> {
+impl<T: Transport + 'static> HttpFrontend<T> {
     /// Accepts clients for as long as it is polled.
     pub async fn listen(self: Rc<Self>, listener: &TcpListener) {
         loop {
@@ -118,7 +118,7 @@
     }
 
     /// Serves one connection in a task of its own, from its acceptance to its close.
-    pub fn admit(self: &Rc<Self>, stream: TcpStream, slot: Slot) {
+    pub fn admit(self: &Rc<Self>, stream: TcpStream, slot: ConnectionSlot) {
         self.desk.counters.client_connections.add();
         if let Err(problem) = stream.set_nodelay(true) {
             log::debug!("http: {problem}");
@@ -207,7 +207,7 @@
                     due.as_mut().reset(Instant::now() + HEARD);
                 }
                 () = look.as_mut(), if looks => {
-                    if !conversation.waits() {
+                    if !conversation.is_connected() {
                         log::debug!("http: a client left in the middle of its body");
                         return (Why::Done, short);
                     }
--- a/src/front/http2.rs
+++ b/src/frontend/http2.rs
@@ -1,11 +1,11 @@
 //! HTTP/2 in cleartext, with prior knowledge (RFC 9113, section 3.3), on a port of its own. Framing, HPACK and flow
 //! control are the `h2` library's; who gets in, who is turned out and how a connection ends is decided by
-//! `flaxgap_streams`. A stream is a request like any other: it goes through the same [`Desk`].
+//! `flaxgap_streams`. A stream is a request like any other: it goes through the same [`FrontendContext`].
 
 use crate::core::{Transport, seconds};
-use crate::descriptors::Slot;
-use crate::front::closing::{self, Shared, Why};
-use crate::front::request::{Desk, Outgoing};
+use crate::frontend::closing::{self, Shared, Why};
+use crate::frontend::request::{FrontendContext, Outgoing};
+use crate::resources::descriptors::ConnectionSlot;
 use bytes::{Buf, Bytes};
 use flaxgap_streams::Http2;
 use flaxgap_streams::abuse::{Kind, Scores};
@@ -197,8 +197,8 @@
 }
 
 /// The front of HTTP/2.
-pub struct Http2Front<T> {
-    desk: Rc<Desk<T>>,
+pub struct Http2Frontend<T> {
+    desk: Rc<FrontendContext<T>>,
     settings: Http2,
     admission: RefCell<Admission>,
     places: Arc<Semaphore>,
@@ -206,7 +206,7 @@
 
 /// A connection's membership, given up when dropped.
 struct Member<T> {
-    front: Rc<Http2Front<T>>,
+    front: Rc<Http2Frontend<T>>,
     connection: Connection,
 }
 
@@ -218,7 +218,7 @@
 
 /// A stream's place, given back when dropped; its connection hears of it.
 struct Place<T> {
-    front: Rc<Http2Front<T>>,
+    front: Rc<Http2Frontend<T>>,
     connection: Connection,
     ended: mpsc::UnboundedSender<()>,
 }
@@ -231,12 +231,12 @@
     }
 }
 
-impl<T: Transport + 'static> Http2Front<T> {
+impl<T: Transport + 'static> Http2Frontend<T> {
     /// A front without connections.
-    pub fn new(desk: Rc<Desk<T>>, settings: Http2) -> Rc<Http2Front<T>> {
+    pub fn new(desk: Rc<FrontendContext<T>>, settings: Http2) -> Rc<Http2Frontend<T>> {
         let admission = RefCell::new(Admission::new(settings.streams_each, settings.streams_all));
         let places = Arc::new(Semaphore::new(settings.connections));
-        Rc::new(Http2Front { desk, settings, admission, places })
+        Rc::new(Http2Frontend { desk, settings, admission, places })
     }
 
     /// Accepts clients for as long as it is polled.
@@ -265,7 +265,7 @@
     }
 
     /// One connection's life: its preface, its streams, its goodbye.
-    async fn serve(self: Rc<Self>, stream: Rc<TcpStream>, slot: &Slot, close: &Rc<Notify>) {
+    async fn serve(self: Rc<Self>, stream: Rc<TcpStream>, slot: &ConnectionSlot, close: &Rc<Notify>) {
         let counters = &self.desk.counters;
         counters.client_connections.add();
         counters.http2_connections.add();
@@ -498,7 +498,7 @@
 }
 
 /// Between streams a connection may be closed if descriptors run short.
-fn rest(slot: &Slot, close: &Rc<Notify>) {
+fn rest(slot: &ConnectionSlot, close: &Rc<Notify>) {
     let close = close.clone();
     slot.idle(move || close.notify_one());
 }
--- a/src/front/intake.rs
+++ b/src/frontend/intake.rs
@@ -5,7 +5,7 @@
 //! parser, before hyper gets it, and what follows a doubtful one never gets there at all.
 
 use crate::core::Client;
-use crate::counters::Counters;
+use crate::metrics::counters::Counters;
 use bytes::{Buf, BytesMut};
 use std::cell::Cell;
 use std::future::Future;
@@ -224,7 +224,7 @@
 }
 
 impl Client for Conversation {
-    fn waits(&self) -> bool {
+    fn is_connected(&self) -> bool {
         match self.peek() {
             // What is unread may have its end behind it.
             Ok(1..) => !half_closed(&self.stream),
--- a/src/front/request.rs
+++ b/src/frontend/request.rs
@@ -1,14 +1,14 @@
 //! What the HTTP fronts share: a request's head read into a [`Call`], its body at a client's pace, and the answer in
 //! words. Nothing here knows how a version of HTTP frames them.
 
-use crate::api::*;
-use crate::config::WireNotes;
-use crate::content::{Broken, Chain, Content, Payload, Pieces, Upload};
-use crate::core::{Answer, Call, Client, Dispatcher, Envelope, Transport, Verb, seconds};
-use crate::counters::{Counters, Final, Flight};
-use crate::descriptors::Budget;
-use crate::memory::{BodyError, LONGEST, Memory};
-use crate::phases::{Phase, Phases};
+use crate::config::WireSettings;
+use crate::core::content::{Broken, Chain, Content, Payload, Pieces, Upload};
+use crate::core::{Answer, Call, Client, Dispatcher, NodeRequest, Operation, Transport, seconds};
+use crate::lifecycle::{Lifecycle, Phase};
+use crate::metrics::counters::{Counters, FinalOutcome, InFlightRequest};
+use crate::resources::descriptors::DescriptorBudget;
+use crate::resources::memory::{BodyError, BodyMemory, LONGEST};
+use crate::scheduler::{ClassId, ExtentId, PlanId, ShardId, VolumeId};
 use bytes::Bytes;
 use futures_core::Stream;
 use hyper::body::{Body, Frame, SizeHint};
@@ -33,19 +33,19 @@
 const LONGEST_WAIT: f64 = 3600.0;
 
 /// What the HTTP fronts share: a request's head is read here, and its answer is worded here.
-pub struct Desk<T> {
+pub struct FrontendContext<T> {
     /// The core.
     pub dispatcher: Rc<Dispatcher>,
     /// The way to the nodes.
     pub transport: Rc<T>,
     /// Names of classes and plans.
-    pub notes: WireNotes,
+    pub notes: WireSettings,
     /// The program's phase.
-    pub phases: Rc<Phases>,
+    pub phases: Rc<Lifecycle>,
     /// The descriptors.
-    pub budget: Rc<Budget>,
+    pub budget: Rc<DescriptorBudget>,
     /// The memory for bodies.
-    pub memory: Rc<Memory>,
+    pub memory: Rc<BodyMemory>,
     /// The counts.
     pub counters: Rc<Counters>,
 }
@@ -103,7 +103,7 @@
     hosts: u32,
     repeat: bool,
     left: f64,
-    verb: Verb,
+    verb: Operation,
 }
 
 impl Fields {
@@ -112,17 +112,17 @@
         method: &Method,
         path: &str,
         headers: &HeaderMap,
-        notes: &WireNotes,
+        notes: &WireSettings,
     ) -> Result<Fields, BadRequest> {
         let verb = match *method {
-            Method::GET => Verb::Read,
-            Method::PUT => Verb::Write,
+            Method::GET => Operation::Read,
+            Method::PUT => Operation::Write,
             ref other => return Err(BadRequest::Method(other.clone())),
         };
         let mut parts = path.strip_prefix('/').ok_or(BadRequest::Path("no slash"))?.split('/');
         let class = parts.next().and_then(|c| notes.class_names.iter().position(|name| name == c));
         let class = ClassId(class.ok_or(BadRequest::Path("unknown class"))?);
-        if notes.class_writes.get(class.0).is_some_and(|writes| *writes != (verb == Verb::Write)) {
+        if notes.class_writes.get(class.0).is_some_and(|writes| *writes != (verb == Operation::Write)) {
             return Err(BadRequest::ClassMethod(method.clone()));
         }
         let digits = |p: &&str| p.len() == 16 && p.bytes().all(|b| b.is_ascii_hexdigit());
@@ -251,12 +251,12 @@
     first: Option<Bytes>,
     rest: Option<Pieces>,
     left: Option<u64>,
-    flight: Option<Flight>,
+    flight: Option<InFlightRequest>,
     ended: Option<Box<dyn FnOnce()>>,
 }
 
 impl Outgoing {
-    fn new(content: Content, flight: Option<Flight>) -> Outgoing {
+    fn new(content: Content, flight: Option<InFlightRequest>) -> Outgoing {
         let Content { first, rest, length } = content;
         let body = Outgoing {
             first: Some(first).filter(|f| !f.is_empty()),
@@ -266,7 +266,7 @@
             ended: None,
         };
         if body.rest.is_none() {
-            body.settle(Final::Served);
+            body.settle(FinalOutcome::Served);
         }
         body
     }
@@ -276,7 +276,7 @@
         self.ended = Some(Box::new(ended));
     }
 
-    fn settle(&self, end: Final) {
+    fn settle(&self, end: FinalOutcome) {
         self.flight.iter().for_each(|flight| flight.settle(end));
     }
 }
@@ -308,9 +308,9 @@
             // The client can tell by the length or the chunks, and by the connection's end.
             Some(Err(problem)) => {
                 log::debug!("http: an answer: {problem}");
-                self.settle(Final::Failed);
+                self.settle(FinalOutcome::Failed);
             }
-            Some(Ok(_)) | None => self.settle(Final::Served),
+            Some(Ok(_)) | None => self.settle(FinalOutcome::Served),
         }
         Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
     }
@@ -324,7 +324,7 @@
     }
 }
 
-impl<T: Transport + 'static> Desk<T> {
+impl<T: Transport + 'static> FrontendContext<T> {
     /// Answers a request. `grace` is the time that its body has, pace apart; `doubtful` is set where its length is;
     /// `client` is who waits, where that can be asked at any moment.
     pub async fn answer<B>(
@@ -360,15 +360,15 @@
         let call = Box::pin(self.call(request, fields, grace, client)).await;
         // A second request with an id would be a second copy at the node.
         match call.and_then(|call| {
-            let fresh = self.dispatcher.claim(&call.envelope.id);
+            let fresh = self.dispatcher.claim(&call.node_request.id);
             if fresh { Ok(call) } else { Err(BadRequest::Duplicate) }
         }) {
             Err(problem) => {
-                flight.settle(Final::Failed);
+                flight.settle(FinalOutcome::Failed);
                 self.turn_down(&problem)
             }
             Ok(call) => {
-                let upload = call.envelope.payload.upload().cloned();
+                let upload = call.node_request.payload.upload().cloned();
                 let answer = self.dispatcher.serve(&*self.transport, call, flight).await;
                 // An answer may come before the data's end; a client that is still sending could not read it.
                 if let Some(upload) = upload.filter(|upload| upload.ended().is_none()) {
@@ -403,7 +403,7 @@
         let id = bytes("x-correlation-id").unwrap_or_default();
         let repeat_key = bytes("idempotency-key");
         let (length, mut body) = (body.size_hint().exact(), Paced::new(body, grace));
-        let read = fields.verb == Verb::Read;
+        let read = fields.verb == Operation::Read;
         if read && length.is_some_and(|length| length > 0) {
             return Err(BadRequest::Length);
         }
@@ -419,8 +419,10 @@
         let wait = seconds(fields.left);
         let deadline = Instant::now() + wait;
         let payload = match gathered.whole {
-            true => Payload::Whole(gathered.bytes),
-            false => Payload::Passing(Upload::new(Chain::link(gathered.bytes, Box::pin(body)), length, wait)),
+            true => Payload::Buffered(gathered.bytes),
+            false => {
+                Payload::Streamed(Upload::new(Chain::link(gathered.bytes, Box::pin(body)), length, wait))
+            }
         };
         Ok(Call {
             class: fields.class,
@@ -429,11 +431,17 @@
             extent: Some(fields.extent).filter(|e| e.0 != 0),
             shard: fields.shard,
             units: fields.units,
-            hosts: fields.hosts,
-            repeat: fields.repeat,
+            heads: fields.hosts,
+            client_retry: fields.repeat,
             deadline,
             client,
-            envelope: Rc::new(Envelope { verb: fields.verb, target, id, repeat_key, payload }),
+            node_request: Rc::new(NodeRequest {
+                operation: fields.verb,
+                target,
+                id,
+                idempotency_key: repeat_key,
+                payload,
+            }),
         })
     }
 }
@@ -449,7 +457,7 @@
 fn word(answer: Answer) -> Response<Outgoing> {
     match answer {
         Answer::Served(content, flight) => Response::new(Outgoing::new(content, Some(flight))),
-        Answer::Refused { wait } => {
+        Answer::Rejected { retry_after_s: wait } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused, come again\n");
             if wait > 0.0 {
                 if let Ok(value) = HeaderValue::from_str(&format!("{wait:.3}")) {
--- a/src/handover.rs
+++ b/src/handover/mod.rs
@@ -6,14 +6,14 @@
 //! it took. While both live, each has half of what is the head's: limits, cold nodes, descriptors, memory. The
 //! link's end is the other's end.
 
-use crate::api::Event;
-use crate::bans::Bans;
 use crate::core::Dispatcher;
-use crate::descriptors::Budget;
-use crate::discovery::Directory;
-use crate::levels::Levels;
-use crate::memory::Memory;
-use crate::phases::Phases;
+use crate::discovery::EndpointDirectory;
+use crate::exclusions::Exclusions;
+use crate::lifecycle::Lifecycle;
+use crate::resources::descriptors::DescriptorBudget;
+use crate::resources::memory::BodyMemory;
+use crate::scheduler::Event;
+use crate::shedding::controller::SheddingController;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -67,17 +67,17 @@
     /// The core, for the limits and cold nodes.
     pub dispatcher: Rc<Dispatcher>,
     /// The descriptors.
-    pub budget: Rc<Budget>,
+    pub budget: Rc<DescriptorBudget>,
     /// The memory for bodies.
-    pub memory: Rc<Memory>,
+    pub memory: Rc<BodyMemory>,
     /// Who accepts.
-    pub phases: Rc<Phases>,
+    pub phases: Rc<Lifecycle>,
     /// The bans.
-    pub bans: Rc<Bans>,
+    pub bans: Rc<Exclusions>,
     /// The list that they apply to.
-    pub directory: Rc<Directory>,
+    pub directory: Rc<EndpointDirectory>,
     /// The levels of reduced service, for their pins.
-    pub levels: Rc<Levels>,
+    pub levels: Rc<SheddingController>,
 }
 
 /// The link to the other processes of this head.
@@ -184,7 +184,7 @@
         let after = *self.standing.borrow();
         if before.part() != after.part() {
             log::info!("handover: this process has {} of the head's share", after.part());
-            self.shared.dispatcher.tell(&[Event::Share { part: after.part() }]);
+            self.shared.dispatcher.tell(&[Event::ProcessShareChanged { fraction: after.part() }]);
             self.shared.budget.set_part(after.part());
             self.shared.memory.set_part(after.part());
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,91 +1,97 @@
 //! The decisions of a storage gateway that keeps volumes to their reservations, shares and limits.
 //!
-//! A [`Scheduler`] is one host's I/O scheduler. It is told what happens ([`api::Event`]) and says what
-//! to do ([`api::Action`]); it reads no clock, opens no connection and shares nothing with other hosts.
-//! The same events give the same actions.
+//! A [`Scheduler`] is the I/O scheduler of one head. It receives events ([`scheduler::Event`]) and
+//! answers with actions ([`scheduler::Action`]); it reads no clock, opens no connection and shares nothing with
+//! other heads. The same events give the same actions.
 //!
 //! ```
-//! use flaxgap::{Scheduler, api::*};
+//! use flaxgap::scheduler::{
+//!     Action, Class, ClassId, Endpoint, Event, Idempotency, IoRequest, NodeId, NodeState, PlanId, RequestId, Scheduler,
+//!     SchedulerSettings, SchedulerSettingsError, ShardId, SlowStartSettings, UpdateKind, VolumeId, ZoneId,
+//! };
 //!
-//! let settings = Settings {
+//! let settings = SchedulerSettings {
 //!     classes: vec![Class {
-//!         aim: 0.2,
-//!         deadline: 1.0,
-//!         worth: 1.0,
-//!         late_worth: 0.1,
-//!         repeat: Repeat::Safe,
-//!         in_order: false,
+//!         latency_objective_s: 0.2,
+//!         deadline_s: 1.0,
+//!         priority_weight: 1.0,
+//!         late_fraction: 0.1,
+//!         idempotency: Idempotency::Idempotent,
+//!         ordered: false,
 //!     }],
 //!     plans: vec![],
-//!     mean_units: 2.0,
-//!     most_units: 8.0,
-//!     share_worth: 0.3,
-//!     spare_worth: 0.1,
-//!     hosts: 3,
-//!     tick: 0.002,
-//!     most_held: 1000,
+//!     mean_request_units: 2.0,
+//!     max_request_units: 8.0,
+//!     within_quota_fraction: 0.3,
+//!     beyond_quota_fraction: 0.1,
+//!     heads: 3,
+//!     tick_s: 0.002,
+//!     max_pending: 1000,
 //!     max_attempts: 3,
-//!     second_copies: false,
-//!     cancel: true,
-//!     probes: false,
-//!     reports_in_answers: false,
-//!     use_period: 0.0,
-//!     tells_elsewhere: false,
-//!     ask_every: None,
-//!     cold: Cold { units: 10.0, span: 2.0, from: 0.2, warm_within: 15.0, multiple: 2.5 },
-//!     budget: None,
-//!     order_pause: 0.0,
-//!     max_wait: 0.0,
+//!     hedging: false,
+//!     cancellation: true,
+//!     health_checks: false,
+//!     load_reports_in_answers: false,
+//!     usage_period_s: 0.0,
+//!     reports_usage_elsewhere: false,
+//!     poll_interval_s: None,
+//!     slow_start: SlowStartSettings {
+//!         units: 10.0,
+//!         window_s: 2.0,
+//!         initial_capacity: 0.2,
+//!         warm_up_s: 15.0,
+//!         overload_factor: 2.5,
+//!     },
+//!     retry_budget: None,
+//!     ordering_pause_s: 0.0,
+//!     max_retry_after_s: 0.0,
 //! };
 //! let mut scheduler = Scheduler::new(settings, 42, 0.0)?;
-//! let node = NodeInfo {
+//! let endpoint = Endpoint {
 //!     node: NodeId(1),
 //!     shard: ShardId(0),
-//!     since: 0.0,
+//!     started_at: 0.0,
 //!     zone: ZoneId(0),
 //!     state: NodeState::Ready,
 //! };
-//! let request = Request {
+//! let request = IoRequest {
 //!     id: RequestId(1),
 //!     class: ClassId(0),
 //!     plan: PlanId(0),
 //!     volume: VolumeId(5),
 //!     extent: None,
 //!     shard: Some(ShardId(0)),
-//!     remaining: 1.0,
+//!     remaining_s: 1.0,
 //!     units: 2.0,
-//!     hosts: 1,
-//!     repeat: false,
+//!     heads: 1,
+//!     client_retry: false,
 //! };
-//! let events = [Event::Nodes { kind: ListKind::Whole, nodes: vec![node] }, Event::Request(request)];
+//! let events = [
+//!     Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: vec![endpoint] },
+//!     Event::RequestArrived(request),
+//! ];
 //! let mut actions = Vec::new();
 //! scheduler.handle(0.0, &events, &mut actions);
 //! assert!(matches!(actions[0], Action::Send { request: RequestId(1), node: NodeId(1), .. }));
-//! # Ok::<(), SettingsError>(())
+//! # Ok::<(), SchedulerSettingsError>(())
 //! ```
 
 #[cfg(test)]
 extern crate self as flaxgap;
 
-pub mod api;
-pub mod bans;
 pub mod config;
-pub mod content;
 pub mod core;
-pub mod counters;
 pub mod daemon;
-pub mod descriptors;
 pub mod discovery;
-pub mod export;
-pub mod front;
+pub mod exclusions;
+pub mod frontend;
 pub mod handover;
-pub mod levels;
-mod logic;
-pub mod memory;
-pub mod monitor;
+pub mod lifecycle;
+pub mod metrics;
 pub mod node;
-pub mod ops;
-pub mod phases;
 pub mod plugin;
+pub mod resources;
+pub mod scheduler;
+pub mod shedding;
 
-pub use logic::Scheduler;
+pub use scheduler::Scheduler;
--- a/src/phases.rs
+++ b/src/lifecycle.rs
@@ -19,7 +19,7 @@
 }
 
 /// The phase, the signal that idle connections shall close, and the connections still open.
-pub struct Phases {
+pub struct Lifecycle {
     phase: watch::Sender<Phase>,
     closing: watch::Sender<bool>,
     accepting: watch::Sender<bool>,
@@ -35,9 +35,9 @@
     }
 }
 
-impl Default for Phases {
+impl Default for Lifecycle {
     fn default() -> Self {
-        Phases {
+        Lifecycle {
             phase: watch::Sender::new(Phase::Starting),
             closing: watch::Sender::new(false),
             accepting: watch::Sender::new(true),
@@ -46,7 +46,7 @@
     }
 }
 
-impl Phases {
+impl Lifecycle {
     /// The phase now.
     pub fn now(&self) -> Phase {
         *self.phase.borrow()
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,8 +1,8 @@
 //! The storage head as a program.
 
 use flaxgap::config::Config;
+use flaxgap::config::operators_file::OperatorsFile;
 use flaxgap::daemon::{Daemon, Signals};
-use flaxgap::ops::Ops;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -26,7 +26,7 @@
         config.ops = Some(address.parse().map_err(|e| format!("LB_OPS: {address}: {e}"))?);
     }
     log::info!("daemon: {} starts, discovery at {}", config.name, config.discovery);
-    let ops = named("FLAXGAP_OPS").map(|path| Ops::load(&path)).transpose()?.unwrap_or_default();
+    let ops = named("FLAXGAP_OPS").map(|path| OperatorsFile::load(&path)).transpose()?.unwrap_or_default();
     let daemon = Daemon::new(path, config, named("FLAXGAP_BLOCK"), ops, named("TMPDIR").map(Into::into));
     Ok(local.block_on(&runtime, daemon.run(signals))?)
 }
--- a/src/counters.rs
+++ b/src/metrics/counters.rs
@@ -1,7 +1,7 @@
 //! Figures of what the head takes in, sends and answers: one source for the operators' door, the exporters,
 //! the log and the exit.
 
-use crate::api::{ClassId, Outcome};
+use crate::scheduler::{AttemptOutcome, ClassId};
 use std::cell::Cell;
 use std::fmt;
 use std::rc::Rc;
@@ -34,11 +34,11 @@
 
 /// A request's one final answer, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalOutcome {
     /// With a node's body, to its end.
     Served,
-    /// Turned away; trying again does no harm.
-    Refused,
+    /// Rejected without effect; the client may safely send it again.
+    Rejected,
     /// Anything else.
     Failed,
 }
@@ -65,7 +65,7 @@
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
             in_flight: Cell<u64>,
-            levels: Cell<LevelGauges>,
+            levels: Cell<SheddingGauges>,
             classes: Vec<OfClass>,
         }
 
@@ -87,7 +87,7 @@
 
 /// Where the levels of reduced service stand.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LevelGauges {
+pub struct SheddingGauges {
     /// The head's place on its ladder, 0 for `normal`.
     pub level: u64,
     /// Halls at a level of their own.
@@ -204,14 +204,14 @@
 /// One request, from the head that named its class to its one final answer. Dropped without one, it is
 /// counted as gone; the gauge falls on every path.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlightRequest {
     counters: Rc<Counters>,
     class: ClassId,
     taken: Cell<bool>,
     settled: Cell<bool>,
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Its last byte has come.
     pub fn take(&self) {
         if !self.taken.replace(true) {
@@ -221,22 +221,22 @@
     }
 
     /// It has its final answer; only the first word counts.
-    pub fn settle(&self, end: Final) {
+    pub fn settle(&self, end: FinalOutcome) {
         if self.settled.replace(true) {
             return;
         }
         let (counters, class) = (&self.counters, self.counters.classes.get(self.class.0));
         let (all, one) = match end {
-            Final::Served => (&counters.served, class.map(|c| &c.served)),
-            Final::Refused => (&counters.refused, class.map(|c| &c.refused)),
-            Final::Failed => (&counters.failed, class.map(|c| &c.failed)),
+            FinalOutcome::Served => (&counters.served, class.map(|c| &c.served)),
+            FinalOutcome::Rejected => (&counters.refused, class.map(|c| &c.refused)),
+            FinalOutcome::Failed => (&counters.failed, class.map(|c| &c.failed)),
         };
         all.add();
         one.into_iter().for_each(Counter::add);
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         if self.taken.get() {
             self.counters.in_flight.set(self.counters.in_flight.get() - 1);
@@ -260,13 +260,13 @@
     }
 
     /// Notes where the levels of reduced service stand.
-    pub fn set_levels(&self, levels: LevelGauges) {
+    pub fn set_levels(&self, levels: SheddingGauges) {
         self.levels.set(levels);
     }
 
     /// A request of a class begins.
-    pub fn flight(self: &Rc<Self>, class: ClassId) -> Flight {
-        Flight { counters: self.clone(), class, taken: Cell::new(false), settled: Cell::new(false) }
+    pub fn flight(self: &Rc<Self>, class: ClassId) -> InFlightRequest {
+        InFlightRequest { counters: self.clone(), class, taken: Cell::new(false), settled: Cell::new(false) }
     }
 
     /// The text that the operators' door shows: the Prometheus exposition format. `gauges` are figures of the
@@ -291,16 +291,16 @@
     }
 
     /// Counts an attempt's end.
-    pub fn outcome(&self, outcome: Outcome) {
+    pub fn outcome(&self, outcome: AttemptOutcome) {
         match outcome {
-            Outcome::Ok => self.ok.add(),
-            Outcome::Error => self.error.add(),
-            Outcome::Full => self.full.add(),
-            Outcome::Timeout => self.timeout.add(),
-            Outcome::ConnectFailed => self.connect_failed.add(),
-            Outcome::Reset => self.reset.add(),
-            Outcome::Cancelled => self.cancelled.add(),
-            Outcome::Moot => self.moot.add(),
+            AttemptOutcome::Ok => self.ok.add(),
+            AttemptOutcome::Error => self.error.add(),
+            AttemptOutcome::Rejected => self.full.add(),
+            AttemptOutcome::Timeout => self.timeout.add(),
+            AttemptOutcome::ConnectFailed => self.connect_failed.add(),
+            AttemptOutcome::Reset => self.reset.add(),
+            AttemptOutcome::Cancelled => self.cancelled.add(),
+            AttemptOutcome::NotSent => self.moot.add(),
         }
     }
 }
--- a/src/export.rs
+++ b/src/metrics/export.rs
@@ -1,7 +1,7 @@
 //! Counters out: to Graphite in its plaintext protocol, and to collectd as PUTVAL commands of its plain
 //! text protocol. Both are off unless the operations file names them.
 
-use crate::counters::{Counters, is_gauge};
+use crate::metrics::counters::{Counters, is_gauge};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- /dev/null
+++ b/src/metrics/mod.rs
@@ -0,0 +1,4 @@
+//! Counters of the head, and their export to Graphite and collectd.
+
+pub mod counters;
+pub mod export;
