--- a/src/node.rs
+++ b/src/node/mod.rs
@@ -3,13 +3,15 @@
 //! A connection is no task of its own: the attempt that uses it drives it, so dropping the attempt
 //! closes the socket there and then. Nothing here sends a request twice.
 
-use crate::api::*;
-use crate::content::{Broken, Content, Payload, Taken};
-use crate::core::{Envelope, Late, Permit, Reply, Transport, Verb, Written, seconds};
-use crate::counters::Counters;
-use crate::descriptors::{Budget, Side, Slot};
+use crate::core::content::{Broken, Content, Payload, Taken};
+use crate::core::{
+    AttemptResult, NodeRequest, Operation, PermitExpired, SendPermit, Transport, WriteProgress, seconds,
+};
 use crate::discovery::schedule;
-use crate::memory::{self, Gathered, Memory};
+use crate::metrics::counters::Counters;
+use crate::resources::descriptors::{ConnectionSlot, DescriptorBudget, Side};
+use crate::resources::memory::{self, BodyMemory, Gathered};
+use crate::scheduler::{AttemptOutcome, LoadReport, NodeId, NodeState};
 use bytes::Bytes;
 use futures_core::Stream;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -62,7 +64,7 @@
 
 /// Where a node is and whether it takes work, as discovery last had it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct NodeAddress {
     /// Its name among all heads.
     pub name: Rc<str>,
     /// Its address.
@@ -88,7 +90,7 @@
     /// Its node takes no more work, or has moved.
     Node,
     /// Its permit is over.
-    Late(Late),
+    PermitExpired(PermitExpired),
     /// Something came on the connection that belongs to no request, or it ended: another connection has to do.
     Connection,
 }
@@ -101,7 +103,7 @@
     node: NodeId,
     /// Where it was when it was chosen; none if it was listed no more.
     address: Option<SocketAddr>,
-    permit: Rc<Permit>,
+    permit: Rc<SendPermit>,
 }
 
 impl Gate {
@@ -136,15 +138,15 @@
 impl Gate {
     /// Asks the permit.
     fn in_time(&self, stage: Stage) -> Result<(), Withheld> {
-        let Some(late) = self.permit.late(Instant::now()) else { return Ok(()) };
+        let Some(late) = self.permit.expired(Instant::now()) else { return Ok(()) };
         match late {
-            Late::Deadline => self.counters.held_back_deadline.add(),
-            Late::Window => self.counters.held_back_window.add(),
-            Late::End => self.counters.held_back_end.add(),
-            Late::Client => self.counters.held_back_client.add(),
+            PermitExpired::Deadline => self.counters.held_back_deadline.add(),
+            PermitExpired::RetryWindow => self.counters.held_back_window.add(),
+            PermitExpired::Shutdown => self.counters.held_back_end.add(),
+            PermitExpired::ClientDisconnected => self.counters.held_back_client.add(),
         }
         log::debug!("node: not sent to node {} ({stage:?}): {late:?}", self.node.0);
-        Err(Withheld::Late(late))
+        Err(Withheld::PermitExpired(late))
     }
 }
 
@@ -178,7 +180,7 @@
 impl Progress {
     /// Before a request.
     fn restart(&self, body_taken: bool, gate: Gate) {
-        gate.permit.written.set(Written::Nothing);
+        gate.permit.written.set(WriteProgress::Nothing);
         self.gate.replace(Some(gate));
         self.body_taken.set(body_taken);
         self.wrote.set(false);
@@ -198,7 +200,7 @@
     }
 
     /// So much of the request has been written.
-    fn wrote(&self, written: Written) {
+    fn wrote(&self, written: WriteProgress) {
         self.wrote.set(true);
         self.gate.borrow().iter().for_each(|gate| gate.permit.written.set(written));
     }
@@ -289,7 +291,7 @@
         self.progress.begin(&self.stream)?;
         let written = write(Pin::new(&mut self.stream));
         if matches!(written, Poll::Ready(Ok(1..))) && !self.progress.whole.get() {
-            self.progress.wrote(Written::Part);
+            self.progress.wrote(WriteProgress::Partial);
         }
         written
     }
@@ -315,7 +317,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let out = self.progress.wrote.get() && self.progress.body_taken.get();
         if out && !self.progress.whole.replace(true) {
-            self.progress.wrote(Written::All);
+            self.progress.wrote(WriteProgress::Complete);
             self.progress.counters.attempts.add();
         }
         Pin::new(&mut self.stream).poll_flush(cx)
@@ -331,7 +333,7 @@
     sender: SendRequest<Outgoing>,
     connection: Connection<TokioIo<Watched>, Outgoing>,
     progress: Rc<Progress>,
-    slot: Slot,
+    slot: ConnectionSlot,
     idle_since: Instant,
     ended: bool,
 }
@@ -412,7 +414,10 @@
                     Some(Ok(Ok(data))) => {
                         // The other side need not ask for more than the length that it was told.
                         if this.body.is_end_stream() {
-                            this.link.take().into_iter().for_each(|l| Nodes::keep(&this.pools, this.node, l));
+                            this.link
+                                .take()
+                                .into_iter()
+                                .for_each(|l| NodeTransport::keep(&this.pools, this.node, l));
                         }
                         return Poll::Ready(Some(Ok(data)));
                     }
@@ -423,7 +428,10 @@
                         return Poll::Ready(Some(Err(Broken(problem.to_string()))));
                     }
                     None => {
-                        this.link.take().into_iter().for_each(|l| Nodes::keep(&this.pools, this.node, l));
+                        this.link
+                            .take()
+                            .into_iter()
+                            .for_each(|l| NodeTransport::keep(&this.pools, this.node, l));
                         return Poll::Ready(None);
                     }
                 }
@@ -436,35 +444,35 @@
 }
 
 /// The nodes, as places and as pools of connections.
-pub struct Nodes {
+pub struct NodeTransport {
     pools: Rc<RefCell<Pools>>,
-    budget: Rc<Budget>,
-    memory: Rc<Memory>,
+    budget: Rc<DescriptorBudget>,
+    memory: Rc<BodyMemory>,
     counters: Rc<Counters>,
     connect_timeout: Duration,
     idle_for: Duration,
 }
 
-impl Nodes {
+impl NodeTransport {
     /// Knows no node yet. `conn_idle` is the time after which nodes close idle connections.
     pub fn new(
-        budget: Rc<Budget>,
-        memory: Rc<Memory>,
+        budget: Rc<DescriptorBudget>,
+        memory: Rc<BodyMemory>,
         counters: Rc<Counters>,
         connect_timeout: f64,
         conn_idle: f64,
         hosts: u32,
-    ) -> Rc<Nodes> {
+    ) -> Rc<NodeTransport> {
         let most = if hosts > schedule::SMALL_FLEET { f64::INFINITY } else { IDLE_MOST };
         let (connect_timeout, idle_for) =
             (seconds(connect_timeout), seconds((conn_idle * IDLE_PART).min(most)));
         let pools = Rc::default();
-        Rc::new(Nodes { pools, budget, memory, counters, connect_timeout, idle_for })
+        Rc::new(NodeTransport { pools, budget, memory, counters, connect_timeout, idle_for })
     }
 
     /// Takes in what discovery says of a node. One that takes no more work, or has moved, loses its
     /// idle connections.
-    pub fn place(&self, node: NodeId, place: Place) {
+    pub fn place(&self, node: NodeId, place: NodeAddress) {
         let mut pools = self.pools.borrow_mut();
         let moved = pools.places.address(node) != Some(place.address);
         let stays = place.state == NodeState::Ready && !moved;
@@ -561,12 +569,12 @@
         Some(Link { sender, connection, progress, slot, idle_since: Instant::now(), ended: false })
     }
 
-    async fn attempt(&self, node: NodeId, envelope: &Envelope, permit: &Rc<Permit>) -> Reply {
+    async fn attempt(&self, node: NodeId, envelope: &NodeRequest, permit: &Rc<SendPermit>) -> AttemptResult {
         let address = self.pools.borrow().places.address(node);
         let (pools, counters, permit) = (self.pools.clone(), self.counters.clone(), permit.clone());
         let gate = Gate { pools, counters, node, address, permit };
         let Some(address) = gate.admits(Stage::Chosen, None).ok().and(address) else {
-            return Reply::empty(Outcome::Moot);
+            return AttemptResult::empty(AttemptOutcome::NotSent);
         };
         loop {
             let (link, pooled) = match self.pooled(node).await {
@@ -575,10 +583,14 @@
                     Some(link) => (link, false),
                     // That it could wait no longer says nothing of the node.
                     None => match gate.in_time(Stage::Chosen) {
-                        Err(Withheld::Late(Late::Window | Late::End | Late::Client)) => {
-                            return Reply::empty(Outcome::Moot);
+                        Err(Withheld::PermitExpired(
+                            PermitExpired::RetryWindow
+                            | PermitExpired::Shutdown
+                            | PermitExpired::ClientDisconnected,
+                        )) => {
+                            return AttemptResult::empty(AttemptOutcome::NotSent);
                         }
-                        _ => return Reply::empty(Outcome::ConnectFailed),
+                        _ => return AttemptResult::empty(AttemptOutcome::ConnectFailed),
                     },
                 },
             };
@@ -592,8 +604,10 @@
                 // Nothing was written, so this is still the same attempt. A new connection that speaks first is
                 // none that can be used.
                 Err(Withheld::Connection) if pooled => {}
-                Err(Withheld::Connection) => return Reply::empty(Outcome::ConnectFailed),
-                Err(Withheld::Node | Withheld::Late(_)) => return Reply::empty(Outcome::Moot),
+                Err(Withheld::Connection) => return AttemptResult::empty(AttemptOutcome::ConnectFailed),
+                Err(Withheld::Node | Withheld::PermitExpired(_)) => {
+                    return AttemptResult::empty(AttemptOutcome::NotSent);
+                }
             }
         }
     }
@@ -603,16 +617,16 @@
         &self,
         mut link: Link,
         address: SocketAddr,
-        envelope: &Envelope,
+        envelope: &NodeRequest,
         gate: &Gate,
-    ) -> Result<Reply, Withheld> {
-        let (node, until) = (gate.node, gate.permit.until);
+    ) -> Result<AttemptResult, Withheld> {
+        let (node, until) = (gate.node, gate.permit.expires_at);
         let upload = envelope.payload.upload().cloned();
-        let empty = matches!(&envelope.payload, Payload::Whole(bytes) if bytes.is_empty());
+        let empty = matches!(&envelope.payload, Payload::Buffered(bytes) if bytes.is_empty());
         link.progress.restart(empty, gate.clone());
         let left = until.saturating_duration_since(Instant::now()).as_secs_f64();
         let Some(request) = request(envelope, address, left, &link.progress) else {
-            return Ok(Reply::empty(Outcome::Moot));
+            return Ok(AttemptResult::empty(AttemptOutcome::NotSent));
         };
         let answer = link.sender.send_request(request);
         let work = async {
@@ -638,59 +652,61 @@
         }
         Ok(match ended {
             // Never whole at the node, so it never began.
-            None | Some(Err(_)) if !progress.whole.get() => Reply::empty(Outcome::ConnectFailed),
-            None if progress.heard.get().is_none() => Reply::empty(Outcome::Timeout),
+            None | Some(Err(_)) if !progress.whole.get() => {
+                AttemptResult::empty(AttemptOutcome::ConnectFailed)
+            }
+            None if progress.heard.get().is_none() => AttemptResult::empty(AttemptOutcome::Timeout),
             Some(Err(problem)) if progress.ended.get() => {
                 log::debug!("node: {address}: {problem}");
-                Reply::empty(Outcome::Reset)
+                AttemptResult::empty(AttemptOutcome::Reset)
             }
             // It has run, and what came back is of no use; nor is the connection.
             None | Some(Err(_)) => {
                 self.counters.spoilt.add();
                 log::debug!("node: {address}: spoilt answer");
-                Reply::empty(Outcome::Error)
+                AttemptResult::empty(AttemptOutcome::Error)
             }
             Some(Ok((head, rest, Gathered { bytes, whole }))) => {
                 let outcome = match head.status {
-                    StatusCode::OK => Outcome::Ok,
+                    StatusCode::OK => AttemptOutcome::Ok,
                     StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
                         if head.headers.get("x-unprocessed").is_some_and(|v| v == "1") =>
                     {
-                        Outcome::Full
+                        AttemptOutcome::Rejected
                     }
-                    _ => Outcome::Error,
+                    _ => AttemptOutcome::Error,
                 };
                 let (used, report) = notes(&head.headers);
                 let mut body = Content::from(bytes);
                 if whole {
-                    Nodes::keep(&self.pools, node, link);
-                } else if outcome == Outcome::Ok {
+                    NodeTransport::keep(&self.pools, node, link);
+                } else if outcome == AttemptOutcome::Ok {
                     body.length = rest.size_hint().exact().map(|rest| rest + body.first.len() as u64);
                     let (pools, over) = (self.pools.clone(), Box::pin(sleep_until(Instant::now() + STALLED)));
                     body.rest = Some(Box::pin(Passing { link: Some(link), body: rest, node, pools, over }));
                 }
-                Reply { outcome, body, used, report }
+                AttemptResult { outcome, body, usage: used, load_report: report }
             }
         })
     }
 }
 
-impl Transport for Nodes {
-    async fn send(&self, node: NodeId, envelope: &Envelope, permit: &Rc<Permit>) -> Reply {
+impl Transport for NodeTransport {
+    async fn send(&self, node: NodeId, envelope: &NodeRequest, permit: &Rc<SendPermit>) -> AttemptResult {
         self.attempt(node, envelope, permit).await
     }
 }
 
 /// The request as it goes to a node; `None` if its parts are no HTTP.
 fn request(
-    envelope: &Envelope,
+    envelope: &NodeRequest,
     address: SocketAddr,
     left: f64,
     progress: &Rc<Progress>,
 ) -> Option<hyper::Request<Outgoing>> {
-    let method = match envelope.verb {
-        Verb::Read => Method::GET,
-        Verb::Write => Method::PUT,
+    let method = match envelope.operation {
+        Operation::Read => Method::GET,
+        Operation::Write => Method::PUT,
     };
     let mut request = hyper::Request::builder()
         .method(&method)
@@ -698,20 +714,20 @@
         .header(HOST, address.to_string())
         .header("x-correlation-id", HeaderValue::from_maybe_shared(envelope.id.clone()).ok()?)
         .header("x-time-left", format!("{left:.3}"));
-    if let Some(key) = &envelope.repeat_key {
+    if let Some(key) = &envelope.idempotency_key {
         request = request.header("idempotency-key", HeaderValue::from_maybe_shared(key.clone()).ok()?);
     }
     let (bytes, passing) = match &envelope.payload {
-        Payload::Whole(bytes) => (Some(bytes.clone()).filter(|b| !b.is_empty()), None),
+        Payload::Buffered(bytes) => (Some(bytes.clone()).filter(|b| !b.is_empty()), None),
         // None once they were taken: they can't be sent again.
-        Payload::Passing(upload) => (None, Some(upload.take()?)),
+        Payload::Streamed(upload) => (None, Some(upload.take()?)),
     };
     if method == Method::PUT && bytes.is_none() && passing.is_none() {
         request = request.header(CONTENT_LENGTH, 0);
     }
     let length = match &envelope.payload {
-        Payload::Whole(bytes) => Some(bytes.len() as u64),
-        Payload::Passing(upload) => upload.length,
+        Payload::Buffered(bytes) => Some(bytes.len() as u64),
+        Payload::Streamed(upload) => upload.length,
     };
     let mut request = request.body(Outgoing { bytes, passing, length, progress: progress.clone() }).ok()?;
     let interim = progress.interim.clone();
@@ -720,7 +736,7 @@
 }
 
 /// The meter's figure and the load report that an answer may carry; what can't be read is left out.
-fn notes(headers: &HeaderMap) -> (Option<f64>, Report) {
+fn notes(headers: &HeaderMap) -> (Option<f64>, LoadReport) {
     let used = headers.get("x-iops-used").and_then(|v| v.to_str().ok()?.trim().parse::<f64>().ok());
     let used = used.filter(|percent| percent.is_finite() && *percent >= 0.0).map(|percent| percent / 100.0);
     let load = headers.get("x-backend-load").map(HeaderValue::as_bytes);
--- a/src/node/places.rs
+++ b/src/node/places.rs
@@ -1,7 +1,7 @@
 //! Where the nodes are and whether they take work: one compact record for each, found by the node's number.
 
-use super::Place;
-use crate::api::{NodeId, NodeState};
+use super::NodeAddress;
+use crate::scheduler::{NodeId, NodeState};
 use flaxgap_membership::address::CompactAddress;
 use hashbrown::HashTable;
 use slab::Slab;
@@ -28,7 +28,7 @@
 }
 
 impl Record {
-    fn holds(&self, place: &Place) -> bool {
+    fn holds(&self, place: &NodeAddress) -> bool {
         self.state == place.state && self.name == place.name && self.address.get() == Some(place.address)
     }
 }
@@ -65,9 +65,10 @@
     }
 
     /// A node's place, and for how long it has had the state and the address that it has.
-    pub(super) fn get(&self, node: &NodeId) -> Option<(Place, Duration)> {
+    pub(super) fn get(&self, node: &NodeId) -> Option<(NodeAddress, Duration)> {
         let record = self.record(*node)?;
-        let place = Place { name: record.name.clone(), address: record.address.get()?, state: record.state };
+        let place =
+            NodeAddress { name: record.name.clone(), address: record.address.get()?, state: record.state };
         Some((place, STEP * self.steps().wrapping_sub(record.since)))
     }
 
@@ -82,20 +83,20 @@
     }
 
     /// Notes a node's place.
-    pub(super) fn insert(&mut self, node: NodeId, place: Place) {
+    pub(super) fn insert(&mut self, node: NodeId, place: NodeAddress) {
         let since = self.steps();
         let Some(slot) = self.find(node) else { return self.append(node, place, since) };
         if let Some(record) = self.slots.get_mut(slot).filter(|record| !record.holds(&place)) {
-            let Place { name, address, state } = place;
+            let NodeAddress { name, address, state } = place;
             *record = Record { node, name, address: Some(address).into(), since, state };
         }
     }
 
-    fn append(&mut self, node: NodeId, place: Place, since: u32) {
+    fn append(&mut self, node: NodeId, place: NodeAddress, since: u32) {
         if self.slots.len() == self.slots.capacity() {
             self.slots.reserve_exact(self.slots.len() / GROWTH + LEAST_GROWTH);
         }
-        let Place { name, address, state } = place;
+        let NodeAddress { name, address, state } = place;
         let slot = self.slots.insert(Record { node, name, address: Some(address).into(), since, state });
         let (hash, slots, hasher) = (self.hasher.hash_one(node), &self.slots, &self.hasher);
         self.index.insert_unique(hash, slot as u32, |slot| hasher.hash_one(slots[*slot as usize].node));
--- a/src/plugin.rs
+++ b/src/plugin.rs
@@ -3,8 +3,8 @@
 //! The script is bounded in steps and in the size of what it keeps. Whatever goes wrong in it is counted
 //! and logged; after a row of failures it is switched off. It has no files, no sockets and no clock.
 
-use crate::core::{Answer, Call, Observer, Verb};
-use crate::counters::Counters;
+use crate::core::{Answer, Call, Observer, Operation};
+use crate::metrics::counters::Counters;
 use rhai::{AST, CallFnOptions, Dynamic, Engine, Map, Scope};
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
@@ -112,8 +112,8 @@
     map.insert("plan".into(), Dynamic::from(call.plan.0 as i64));
     map.insert("volume".into(), format!("{:016x}", call.volume.0).into());
     map.insert("units".into(), call.units.into());
-    map.insert("write".into(), (call.envelope.verb == Verb::Write).into());
-    map.insert("bytes".into(), Dynamic::from(call.envelope.payload.length() as i64));
+    map.insert("write".into(), (call.node_request.operation == Operation::Write).into());
+    map.insert("bytes".into(), Dynamic::from(call.node_request.payload.length() as i64));
     map
 }
 
@@ -126,7 +126,7 @@
         let mut map = fields(call);
         let (word, wait) = match answer {
             Answer::Served(..) => ("served", 0.0),
-            Answer::Refused { wait } => ("refused", *wait),
+            Answer::Rejected { retry_after_s: wait } => ("refused", *wait),
             Answer::Failed => ("failed", 0.0),
         };
         map.insert("answer".into(), word.into());
--- a/src/descriptors.rs
+++ b/src/resources/descriptors.rs
@@ -1,7 +1,7 @@
-//! The budget of file descriptors: every connection holds a [`Slot`], and when they run short the
+//! The budget of file descriptors: every connection holds a [`ConnectionSlot`], and when they run short the
 //! connection that has been idle longest is closed.
 
-use crate::counters::Counters;
+use crate::metrics::counters::Counters;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -39,7 +39,7 @@
 type Close = Box<dyn FnOnce()>;
 
 /// Counts open connections and knows which are idle.
-pub struct Budget {
+pub struct DescriptorBudget {
     limit: Cell<usize>,
     part: Cell<f64>,
     open: Cell<usize>,
@@ -52,10 +52,10 @@
     counters: Rc<Counters>,
 }
 
-impl Budget {
+impl DescriptorBudget {
     /// A budget out of `limit` descriptors of the process.
-    pub fn new(limit: usize, counters: Rc<Counters>) -> Rc<Budget> {
-        let budget = Budget {
+    pub fn new(limit: usize, counters: Rc<Counters>) -> Rc<DescriptorBudget> {
+        let budget = DescriptorBudget {
             limit: Cell::new(0),
             part: Cell::new(1.0),
             open: Cell::new(0),
@@ -93,7 +93,7 @@
 
     /// A slot for a connection about to be opened or just accepted. When all are taken, another connection
     /// is told to close; `None` if there is none to close, or if a client has to wait until it has.
-    pub fn slot(self: &Rc<Self>, side: Side) -> Option<Slot> {
+    pub fn slot(self: &Rc<Self>, side: Side) -> Option<ConnectionSlot> {
         let limit = match side {
             Side::Client => self.limit() - self.limit() / FOR_NODES,
             Side::Node => self.limit(),
@@ -105,12 +105,12 @@
             return None;
         }
         self.open.set(self.open.get() + 1);
-        Some(Slot { budget: self.clone(), side, turn: Cell::new(None), told: Cell::new(false) })
+        Some(ConnectionSlot { budget: self.clone(), side, turn: Cell::new(None), told: Cell::new(false) })
     }
 
     /// Waits for a client's slot. Taken before its connection is accepted, since one that is accepted has to
     /// be served.
-    pub async fn client_slot(self: &Rc<Self>) -> Slot {
+    pub async fn client_slot(self: &Rc<Self>) -> ConnectionSlot {
         loop {
             match self.slot(Side::Client) {
                 Some(slot) => return slot,
@@ -141,7 +141,7 @@
     }
 }
 
-impl Budget {
+impl DescriptorBudget {
     /// Whether so many clients' connections rest between two requests that no more shall.
     pub fn crowded(&self) -> bool {
         self.resting.get() >= (self.limit.get() as f64 * self.part.get()) as usize / RESTING_PART
@@ -156,15 +156,15 @@
 }
 
 /// One connection's place in the budget, given back when dropped.
-pub struct Slot {
-    budget: Rc<Budget>,
+pub struct ConnectionSlot {
+    budget: Rc<DescriptorBudget>,
     side: Side,
     turn: Cell<Option<u64>>,
     /// Told to close.
     told: Cell<bool>,
 }
 
-impl Slot {
+impl ConnectionSlot {
     /// Marks the connection idle from now on; `close` is called at most once, when descriptors run short.
     pub fn idle(&self, close: impl FnOnce() + 'static) {
         let Some(turn) = self.turn() else { return };
@@ -205,7 +205,7 @@
     }
 }
 
-impl Drop for Slot {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.busy();
         self.budget.open.set(self.budget.open.get() - 1);
--- a/src/memory.rs
+++ b/src/resources/memory.rs
@@ -35,7 +35,7 @@
 }
 
 /// What bodies hold, and may hold together.
-pub struct Memory {
+pub struct BodyMemory {
     held: Arc<AtomicUsize>,
     limit: Cell<usize>,
     part: Cell<f64>,
@@ -70,10 +70,10 @@
     }
 }
 
-impl Memory {
+impl BodyMemory {
     /// The part for bodies of a machine with so many MB.
-    pub fn new(memory_mb: usize) -> Rc<Memory> {
-        let memory = Memory { held: Arc::default(), limit: Cell::new(0), part: Cell::new(1.0) };
+    pub fn new(memory_mb: usize) -> Rc<BodyMemory> {
+        let memory = BodyMemory { held: Arc::default(), limit: Cell::new(0), part: Cell::new(1.0) };
         memory.set_limit(memory_mb);
         Rc::new(memory)
     }
--- a/src/memory/tests.rs
+++ b/src/resources/memory/tests.rs
@@ -25,7 +25,7 @@
 #[test]
 fn bodies_share_the_memory_and_give_their_part_back() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-    let (memory, body) = (Memory::new(32), |length: usize| Full::new(Bytes::from(vec![1; length])));
+    let (memory, body) = (BodyMemory::new(32), |length: usize| Full::new(Bytes::from(vec![1; length])));
     runtime.block_on(async {
         let gather = async |length| memory.gather(&mut body(length), 1 << 20, None).await;
         assert!(matches!(gather(34 << 20).await, Err(BodyError::TooLong)));
--- a/src/levels.rs
+++ b/src/shedding/controller.rs
@@ -1,15 +1,15 @@
 //! Levels of reduced service in a running head: looks at the signals once a period, logs what changed, keeps it in
 //! the head's folder for the process that follows, and answers operators. What is decided, and how, is in
-//! `flaxgap_levels` and `watch`.
+//! `flaxgap_load_shedding` and `watch`.
 
 use crate::core::{Dispatcher, seconds};
-use crate::descriptors::Budget;
-use crate::memory::Memory;
-use crate::monitor::Monitor;
-use crate::phases::Phases;
-use flaxgap_levels::governor::PinError;
-use flaxgap_levels::report::{Carry, Change};
-use flaxgap_levels::{Governor, Settings};
+use crate::lifecycle::Lifecycle;
+use crate::resources::descriptors::DescriptorBudget;
+use crate::resources::memory::BodyMemory;
+use crate::shedding::monitor::LoadMonitor;
+use flaxgap_load_shedding::governor::PinError;
+use flaxgap_load_shedding::report::{Carry, Change};
+use flaxgap_load_shedding::{Governor, Settings};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -39,31 +39,41 @@
 }
 
 /// The levels of a running head.
-pub struct Levels {
+pub struct SheddingController {
     dispatcher: Rc<Dispatcher>,
-    budget: Rc<Budget>,
-    memory: Rc<Memory>,
-    phases: Rc<Phases>,
-    module: crate::api::Settings,
+    budget: Rc<DescriptorBudget>,
+    memory: Rc<BodyMemory>,
+    phases: Rc<Lifecycle>,
+    module: crate::scheduler::SchedulerSettings,
     settings: RefCell<Option<Settings>>,
     path: Option<PathBuf>,
     written: Cell<f64>,
     changed: Notify,
 }
 
-impl Levels {
+impl SheddingController {
     /// Levels that are off. `folder` is where processes of one head leave word to each other.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
-        budget: Rc<Budget>,
-        memory: Rc<Memory>,
-        phases: Rc<Phases>,
-        module: crate::api::Settings,
+        budget: Rc<DescriptorBudget>,
+        memory: Rc<BodyMemory>,
+        phases: Rc<Lifecycle>,
+        module: crate::scheduler::SchedulerSettings,
         (folder, name): (Option<&Path>, &str),
-    ) -> Rc<Levels> {
+    ) -> Rc<SheddingController> {
         let path = folder.map(|folder| folder.join(format!("flaxgap-{name}.levels")));
         let (settings, written, changed) = Default::default();
-        Rc::new(Levels { dispatcher, budget, memory, phases, module, settings, path, written, changed })
+        Rc::new(SheddingController {
+            dispatcher,
+            budget,
+            memory,
+            phases,
+            module,
+            settings,
+            path,
+            written,
+            changed,
+        })
     }
 
     /// Other settings hold from now on; none switches levels off. What is in force goes on where it can. True if
@@ -93,7 +103,7 @@
                 }
                 let rungs = governor.rungs();
                 log::info!("levels: on, the head at rung {}, {} halls reduced", rungs.0, rungs.1);
-                self.dispatcher.monitor(Some(Monitor::new(governor, &self.module, now)));
+                self.dispatcher.monitor(Some(LoadMonitor::new(governor, &self.module, now)));
                 true
             }
         }
@@ -121,7 +131,7 @@
         }
         let now = self.dispatcher.clock().now();
         let due = || {
-            let in_force = |monitor: &mut Monitor, _| {
+            let in_force = |monitor: &mut LoadMonitor, _| {
                 let governor = monitor.governor();
                 governor.rungs() != (0, 0) || governor.pinned() > 0
             };
--- a/src/monitor.rs
+++ b/src/shedding/monitor.rs
@@ -1,12 +1,15 @@
 //! Watches what the decision module hears and says, and keeps the levels of reduced service by it. It decides on
-//! levels alone, through `flaxgap_levels`; it reads no clock and holds nothing of a request past its end.
+//! levels alone, through `flaxgap_load_shedding`; it reads no clock and holds nothing of a request past its end.
 
-use crate::api::*;
-use flaxgap_levels::estimate::{End, Lag, Silence, Sliding};
-use flaxgap_levels::governor::Effect;
-use flaxgap_levels::report::Change;
-use flaxgap_levels::settings::{Pass as Lets, Passes};
-use flaxgap_levels::{Governor, Of, Scope, Signal};
+use crate::scheduler::{
+    Action, Admission, AttemptOutcome, ClassId, Endpoint, Event, NodeId, NodeState, RequestId,
+    ReservedWorkStats, SchedulerSettings, SheddingLevel, UpdateKind, VolumeId, ZoneId,
+};
+use flaxgap_load_shedding::estimate::{End, Lag, Silence, Sliding};
+use flaxgap_load_shedding::governor::Effect;
+use flaxgap_load_shedding::report::Change;
+use flaxgap_load_shedding::settings::{Pass as Lets, Passes};
+use flaxgap_load_shedding::{Governor, Of, Scope, Signal};
 use std::collections::{BTreeMap, HashMap};
 
 /// Seconds that what is known of a volume's figure, or of a request that never ended, is kept.
@@ -51,11 +54,11 @@
     /// Levels that changed.
     pub changes: Vec<Change>,
     /// What the module has to be told.
-    pub level: Option<Level>,
+    pub level: Option<SheddingLevel>,
 }
 
 /// The monitor of one head.
-pub struct Monitor {
+pub struct LoadMonitor {
     governor: Governor,
     aims: Vec<f64>,
     most_held: usize,
@@ -65,24 +68,24 @@
     open: BTreeMap<RequestId, Open>,
     out: HashMap<RequestId, (NodeId, f64)>,
     figures: BTreeMap<VolumeId, (f64, f64)>,
-    known: BTreeMap<(Option<ZoneId>, ClassId), Kept>,
+    known: BTreeMap<(Option<ZoneId>, ClassId), ReservedWorkStats>,
     sums: BTreeMap<(Option<ZoneId>, usize), Sums>,
     attempts: Sliding,
     module: (f64, f64),
-    told: Level,
+    told: SheddingLevel,
 }
 
-impl Monitor {
+impl LoadMonitor {
     /// A monitor of a head with these settings of the module.
-    pub fn new(governor: Governor, settings: &Settings, now: f64) -> Monitor {
+    pub fn new(governor: Governor, settings: &SchedulerSettings, now: f64) -> LoadMonitor {
         let s = governor.settings();
         let (silent_after, recent, span) = (s.silent_after, s.recent, s.span);
-        Monitor {
+        LoadMonitor {
             silence: Silence::new(silent_after, recent),
             attempts: Sliding::new(span, span / STEPS),
             governor,
-            aims: settings.classes.iter().map(|class| class.aim).collect(),
-            most_held: settings.most_held,
+            aims: settings.classes.iter().map(|class| class.latency_objective_s).collect(),
+            most_held: settings.max_pending,
             lag: Lag::new(TOLERANCE),
             nodes: BTreeMap::new(),
             open: BTreeMap::new(),
@@ -91,7 +94,7 @@
             known: BTreeMap::new(),
             sums: BTreeMap::new(),
             module: (now, 0.0),
-            told: Level::default(),
+            told: SheddingLevel::default(),
         }
     }
 
@@ -114,22 +117,26 @@
     pub fn heed(&mut self, now: f64, events: &[Event], actions: &[Action]) {
         for event in events {
             match event {
-                Event::Nodes { kind, nodes } => self.list(*kind, nodes),
-                Event::Request(ask) => {
+                Event::EndpointUpdate { kind, endpoints: nodes } => self.list(*kind, nodes),
+                Event::RequestArrived(ask) => {
                     let open = Open {
                         taken: now,
-                        wait: ask.remaining,
+                        wait: ask.remaining_s,
                         volume: ask.volume,
                         sent: false,
                         passes: false,
                     };
                     self.open.insert(ask.id, open);
                 }
-                Event::Outcome { request, outcome, done, used, .. } => {
+                Event::AttemptEnded { request, outcome, request_done: done, usage: used, .. } => {
                     let end = match outcome {
-                        Outcome::Ok | Outcome::Error | Outcome::Full => End::Answered,
-                        Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => End::Unanswered,
-                        Outcome::Cancelled | Outcome::Moot => End::CalledOff,
+                        AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Rejected => {
+                            End::Answered
+                        }
+                        AttemptOutcome::Timeout | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
+                            End::Unanswered
+                        }
+                        AttemptOutcome::Cancelled | AttemptOutcome::NotSent => End::CalledOff,
                     };
                     if let Some((node, sent_at)) = self.out.remove(request) {
                         self.silence.ended(now, node.0, sent_at, end);
@@ -144,11 +151,14 @@
                         self.open.remove(request);
                     }
                 }
-                Event::Started { request } => {
+                Event::StreamingStarted { request } => {
                     self.open.get_mut(request).into_iter().for_each(|open| open.passes = true);
                 }
-                Event::ClientGone { request } => _ = self.open.remove(request),
-                Event::Probed { .. } | Event::WakeUp | Event::Share { .. } | Event::Level(_) => {}
+                Event::ClientDisconnected { request } => _ = self.open.remove(request),
+                Event::HealthChecked { .. }
+                | Event::WakeUp
+                | Event::ProcessShareChanged { .. }
+                | Event::SheddingLevelChanged(_) => {}
             }
         }
         for action in actions {
@@ -160,14 +170,14 @@
                         self.open.get_mut(request).is_some_and(|o| !std::mem::replace(&mut o.sent, true));
                     self.attempts.add(now, 1.0, f64::from(u8::from(first)));
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => _ = self.open.remove(request),
+                Action::Reject { request, .. } | Action::Fail { request } => _ = self.open.remove(request),
                 _ => {}
             }
         }
     }
 
-    fn list(&mut self, kind: ListKind, nodes: &[NodeInfo]) {
-        if matches!(kind, ListKind::Whole | ListKind::Cached) {
+    fn list(&mut self, kind: UpdateKind, nodes: &[Endpoint]) {
+        if matches!(kind, UpdateKind::Snapshot | UpdateKind::CachedSnapshot) {
             let listed: Vec<u64> = nodes.iter().map(|info| info.node.0).collect();
             self.silence.keep(|node| listed.contains(&node));
             self.nodes.retain(|node, _| listed.contains(&node.0));
@@ -190,7 +200,7 @@
     pub fn look(
         &mut self,
         now: f64,
-        kept: &BTreeMap<(Option<ZoneId>, ClassId), Kept>,
+        kept: &BTreeMap<(Option<ZoneId>, ClassId), ReservedWorkStats>,
         gauges: Gauges,
     ) -> Looked {
         if now < self.governor.next_look() {
@@ -213,11 +223,11 @@
     }
 
     /// What the module has to be told, if it has not heard of it yet.
-    pub fn moved(&mut self, now: f64) -> Option<Level> {
+    pub fn moved(&mut self, now: f64) -> Option<SheddingLevel> {
         let level = level(self.governor.effect(now));
-        let moved = level.pass != self.told.pass
-            || level.zones != self.told.zones
-            || level.reduces() && (level.until - self.told.until).abs() > UNTIL_MOVES;
+        let moved = level.admission != self.told.admission
+            || level.zone_admission != self.told.zone_admission
+            || level.is_shedding() && (level.ends_at - self.told.ends_at).abs() > UNTIL_MOVES;
         moved.then(|| {
             self.told = level.clone();
             level
@@ -225,7 +235,7 @@
     }
 
     /// Other settings hold from now on; levels go on under them where they have the same name.
-    pub fn configure(&mut self, settings: flaxgap_levels::Settings, now: f64) -> Vec<Change> {
+    pub fn configure(&mut self, settings: flaxgap_load_shedding::Settings, now: f64) -> Vec<Change> {
         let (span, recent, silent_after) = (settings.span, settings.recent, settings.silent_after);
         let changes = self.governor.configure(settings, now);
         (self.sums, self.attempts) = (BTreeMap::new(), Sliding::new(span, span / STEPS));
@@ -236,11 +246,15 @@
     }
 
     /// The aims of reserved work: of each hall, and over all that no hall's own level accounts for.
-    fn read_kept(&mut self, now: f64, kept: &BTreeMap<(Option<ZoneId>, ClassId), Kept>) {
+    fn read_kept(&mut self, now: f64, kept: &BTreeMap<(Option<ZoneId>, ClassId), ReservedWorkStats>) {
         let (span, least) = (self.governor.settings().span, self.governor.settings().least);
         for ((zone, class), kept) in kept {
             let known = self.known.insert((*zone, *class), *kept).unwrap_or_default();
-            let (met, all, delay) = (kept.met - known.met, kept.all - known.all, kept.delay - known.delay);
+            let (met, all, delay) = (
+                kept.met_objective - known.met_objective,
+                kept.completed - known.completed,
+                kept.total_delay_s - known.total_delay_s,
+            );
             if all == 0 {
                 continue;
             }
@@ -298,19 +312,23 @@
 }
 
 /// What the levels in force let pass, as the module is told it.
-fn level(effect: Effect) -> Level {
-    let table = |passes: Passes| -> Vec<Vec<Pass>> {
+fn level(effect: Effect) -> SheddingLevel {
+    let table = |passes: Passes| -> Vec<Vec<Admission>> {
         let pass = |lets: Lets| match lets {
-            Lets::All => Pass::All,
-            Lets::Share => Pass::Share,
-            Lets::Reserve => Pass::Reserve,
-            Lets::Nothing => Pass::Nothing,
+            Lets::All => Admission::All,
+            Lets::Share => Admission::WithinQuota,
+            Lets::Reserve => Admission::WithinReserve,
+            Lets::Nothing => Admission::TrialOnly,
         };
         passes.0.into_iter().map(|plans| plans.into_iter().map(pass).collect()).collect()
     };
-    Level {
-        pass: table(effect.head),
-        zones: effect.halls.into_iter().map(|(hall, passes)| (ZoneId(hall), table(passes))).collect(),
-        until: effect.until,
+    SheddingLevel {
+        admission: table(effect.head),
+        zone_admission: effect
+            .halls
+            .into_iter()
+            .map(|(hall, passes)| (ZoneId(hall), table(passes)))
+            .collect(),
+        ends_at: effect.until,
     }
 }
