--- a/crates/distribution/src/encode.rs
+++ b/crates/distribution/src/encode.rs
@@ -1,11 +1,14 @@
-//! Lists in discovery's form, one to a line, always with the same fields in the same order.
+//! Encodes lists in the discovery protocol: one JSON object a line, always with the same fields in the same order.
 
 use bytes::Bytes;
 use flaxgap_membership::wire::{Entry, State};
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// An entry as it is sent. Fields that nothing is known of are left out.
+/// Milliseconds in a second: the wire carries start times in milliseconds.
+const MS_PER_S: f64 = 1000.0;
+
+/// An entry in its wire form. Unknown fields are left out.
 #[derive(Serialize)]
 struct WireEntry<'a> {
     uid: &'a str,
@@ -20,7 +23,7 @@
     boot_ms: u64,
 }
 
-/// A list as it is sent.
+/// A list in its wire form.
 #[derive(Serialize)]
 struct WireList<'a> {
     rev: u64,
@@ -28,8 +31,8 @@
     targets: Vec<WireEntry<'a>>,
 }
 
-/// What a name that left is told as.
-pub(crate) fn gone(name: String) -> Entry {
+/// The entry that announces the departure of a node.
+pub(crate) fn departed_entry(name: String) -> Entry {
     Entry { name, address: None, zone: String::new(), shard: None, state: State::Gone, boot: 0.0 }
 }
 
@@ -48,37 +51,39 @@
         az: &entry.zone,
         pod_group: entry.shard,
         state: Some(state_name(entry.state)),
-        boot_ms: (entry.boot * 1000.0).round() as u64,
+        boot_ms: (entry.boot * MS_PER_S).round() as u64,
     }
 }
 
-/// A name of which nothing else could be read: its reader keeps what it knows of the node.
-fn wire_unread(name: &str) -> WireEntry<'_> {
+/// A node of which only the name could be parsed: the receiver retains what it knows of that node.
+fn name_only_entry(name: &str) -> WireEntry<'_> {
     WireEntry { uid: name, endpoint: None, az: "", pod_group: None, state: None, boot_ms: 0 }
 }
 
-fn line(list: &WireList<'_>) -> Result<Bytes, serde_json::Error> {
+fn encode_line(list: &WireList<'_>) -> Result<Bytes, serde_json::Error> {
     let mut text = serde_json::to_vec(list)?;
     text.push(b'\n');
     Ok(text.into())
 }
 
-/// One line with the changes that lead to a version.
-pub(crate) fn changes(rev: u64, entries: &[Entry]) -> Result<Bytes, serde_json::Error> {
-    line(&WireList { rev, all: false, targets: entries.iter().map(wire_entry).collect() })
+/// Encodes the changes that lead to a version.
+pub(crate) fn encode_changes(version: u64, entries: &[Entry]) -> Result<Bytes, serde_json::Error> {
+    let targets = entries.iter().map(wire_entry).collect();
+    encode_line(&WireList { rev: version, all: false, targets })
 }
 
-/// One line that says that nothing has come after a version.
-pub(crate) fn no_changes(rev: u64) -> Bytes {
-    format!("{{\"rev\":{rev},\"all\":false,\"targets\":[]}}\n").into()
+/// Encodes a list without changes, for a watcher that already knows the version.
+pub(crate) fn encode_no_changes(version: u64) -> Bytes {
+    format!("{{\"rev\":{version},\"all\":false,\"targets\":[]}}\n").into()
 }
 
-/// One line with the whole list.
-pub(crate) fn whole<'a>(
-    rev: u64,
+/// Encodes the complete list.
+pub(crate) fn encode_snapshot<'a>(
+    version: u64,
     entries: impl Iterator<Item = &'a Entry>,
-    unread: &'a BTreeSet<String>,
+    name_only: &'a BTreeSet<String>,
 ) -> Result<Bytes, serde_json::Error> {
-    let unread = unread.iter().map(|name| wire_unread(name));
-    line(&WireList { rev, all: true, targets: entries.map(wire_entry).chain(unread).collect() })
+    let mut targets: Vec<WireEntry<'_>> = entries.map(wire_entry).collect();
+    targets.extend(name_only.iter().map(|name| name_only_entry(name)));
+    encode_line(&WireList { rev: version, all: true, targets })
 }
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -1,40 +1,41 @@
-//! A bounded log of encoded changes, shared by all who read it.
+//! A bounded log of encoded changes, shared by all watchers of a replica. Its oldest records are compacted away when a
+//! bound is exceeded.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// A place in the log. Places are counted on over the whole life of a replica and are never used twice.
+/// The position of a record in the log. Positions increase over the whole run of a replica and are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Position(pub(crate) u64);
+pub struct Position(u64);
 
 impl Position {
-    /// The place after this one.
-    pub fn following(self) -> Position {
+    /// The position after this one.
+    pub fn next(self) -> Position {
         Position(self.0 + 1)
     }
 }
 
-/// One line of changes.
+/// One encoded line of changes.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// The version that it leads from.
-    pub from: u64,
-    /// Who knows this version, or a later one, has no need of it.
+    /// The version that it starts from.
+    pub from_version: u64,
+    /// A watcher that knows this version, or a later one, does not need the record.
     pub needed_below: u64,
-    /// It was made of two whole lists with versions between them. A node that changed and changed back meanwhile is not
-    /// in it, so that it serves nobody who knows a version between the two.
-    pub skips: bool,
-    /// Its text, with the line's end.
+    /// It is the difference of two complete lists with versions between them. A node that changed and changed back
+    /// in between is not in it, so it can't serve a watcher that knows a version between the two.
+    pub skips_versions: bool,
+    /// The encoded line, with its newline.
     pub text: Bytes,
 }
 
-/// What the log has for one who knows a version.
+/// The result of looking up a version in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// All that came later, from this place on.
-    From(Position),
-    /// Not all that came later.
-    Missing,
+    /// All later changes are in the log, from this position on.
+    Available(Position),
+    /// Some later changes are not in the log any more, or never were.
+    Compacted,
 }
 
 /// The records, oldest first.
@@ -42,83 +43,94 @@
 pub struct Log {
     records: VecDeque<Record>,
     first: Position,
-    /// The lowest version from which the records lead on.
-    base: u64,
+    compacted_version: u64,
     bytes: usize,
     max_bytes: usize,
     max_records: usize,
 }
 
 impl Log {
-    /// An empty log.
+    /// An empty log with its bounds.
     pub fn new(max_bytes: usize, max_records: usize) -> Log {
-        Log { records: VecDeque::new(), first: Position(0), base: 0, bytes: 0, max_bytes, max_records }
+        Log {
+            records: VecDeque::new(),
+            first: Position(0),
+            compacted_version: 0,
+            bytes: 0,
+            max_bytes,
+            max_records,
+        }
     }
 
-    /// Forgets all records; the next ones lead on from a version.
-    pub fn restart(&mut self, base: u64) {
+    /// Drops all records; the next ones start from `version`.
+    pub fn reset(&mut self, version: u64) {
         self.first = self.end();
         self.records.clear();
-        (self.base, self.bytes) = (base, 0);
+        self.compacted_version = version;
+        self.bytes = 0;
     }
 
-    /// Adds a record, and drops the oldest ones that are too many by then.
+    /// Appends a record, and compacts the oldest ones until the bounds hold again.
     pub fn push(&mut self, record: Record) {
         self.bytes += record.text.len();
         self.records.push_back(record);
-        while self.bytes > self.max_bytes || self.records.len() > self.max_records {
+        while self.exceeds_bounds() {
             let Some(dropped) = self.records.pop_front() else { return };
             self.bytes -= dropped.text.len();
-            self.base = self.base.max(dropped.needed_below);
-            self.first = self.first.following();
+            self.compacted_version = self.compacted_version.max(dropped.needed_below);
+            self.first = self.first.next();
         }
     }
 
-    /// The place after the last record.
+    fn exceeds_bounds(&self) -> bool {
+        self.bytes > self.max_bytes || self.records.len() > self.max_records
+    }
+
+    /// The position after the last record.
     pub fn end(&self) -> Position {
         Position(self.first.0 + self.records.len() as u64)
     }
 
-    /// The place of the oldest record.
+    /// The position of the oldest record.
     pub fn first(&self) -> Position {
         self.first
     }
 
-    /// The lowest version from which the records lead on.
-    pub fn base(&self) -> u64 {
-        self.base
+    /// The lowest version from which a watcher can resume.
+    pub fn compacted_version(&self) -> u64 {
+        self.compacted_version
     }
 
-    /// How many bytes of text it holds.
+    /// Bytes of encoded text in the log.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// How many records it holds.
+    /// Number of records in the log.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether it holds no record.
+    /// Whether the log has no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The record at a place; none before the first and after the last.
+    /// The record at a position; `None` before the first and after the last.
     pub fn get(&self, position: Position) -> Option<&Record> {
-        let place = position.0.checked_sub(self.first.0)?;
-        self.records.get(usize::try_from(place).ok()?)
+        let index = position.0.checked_sub(self.first.0)?;
+        self.records.get(usize::try_from(index).ok()?)
     }
 
-    /// Where one who knows a version has to read on.
-    pub fn after(&self, version: u64) -> Lookup {
-        if version < self.base {
-            return Lookup::Missing;
+    /// Where a watcher that knows `version` resumes.
+    pub fn lookup(&self, version: u64) -> Lookup {
+        if version < self.compacted_version {
+            return Lookup::Compacted;
         }
-        let place = self.records.partition_point(|record| record.needed_below <= version);
-        match self.records.get(place) {
-            Some(record) if record.skips && version > record.from => Lookup::Missing,
-            _ => Lookup::From(Position(self.first.0 + place as u64)),
+        let index = self.records.partition_point(|record| record.needed_below <= version);
+        match self.records.get(index) {
+            Some(record) if record.skips_versions && version > record.from_version => Lookup::Compacted,
+            _ => Lookup::Available(Position(self.first.0 + index as u64)),
         }
     }
 }
--- a/crates/distribution/src/selection.rs
+++ b/crates/distribution/src/selection.rs
@@ -6,7 +6,7 @@
 mod ranking;
 mod search;
 
-use crate::draw::Draw;
+use crate::random::CounterRandom;
 pub use pacing::Pacing;
 pub use ranking::{Locality, RelayInfo, RelayListError, rank, rank_spares, validate};
 use search::Search;
@@ -104,7 +104,7 @@
     search: Option<Search>,
     second_due: Option<f64>,
     return_due: Option<f64>,
-    draw: Draw,
+    random: CounterRandom,
 }
 
 impl Selection {
@@ -132,8 +132,8 @@
         let ranking = rank(head_name, locality, &relays);
         let spares =
             (0..relays.len()).map(|primary| rank_spares(head_name, locality, &relays, primary)).collect();
-        let mut draw = Draw::new(seed);
-        let search = Some(Search::new(ranking.clone(), now + draw.between(0.0, pacing.first_try_s)));
+        let mut random = CounterRandom::new(seed);
+        let search = Some(Search::new(ranking.clone(), now + random.uniform(0.0, pacing.first_try_s)));
         let (standings, watches) = (vec![Standing::default(); relays.len()], Vec::new());
         Ok(Selection {
             head_name: head_name.to_string(),
@@ -148,7 +148,7 @@
             search,
             second_due: None,
             return_due: None,
-            draw,
+            random,
         })
     }
 
@@ -158,7 +158,7 @@
         relays: Vec<RelayInfo>,
         now: f64,
     ) -> Result<Vec<Directive>, RelayListError> {
-        let (pacing, seed) = (self.pacing.clone(), self.draw.next_seed());
+        let (pacing, seed) = (self.pacing.clone(), self.random.next_u64());
         let new = Selection::with_pacing(&self.head_name, &self.locality, relays, seed, now, pacing)?;
         let old = std::mem::replace(self, new);
         self.issued = old.issued;
@@ -245,7 +245,7 @@
                 self.note_failure(watch, now);
             }
             LostReason::Ended => {
-                let soon = now + self.draw.between(0.0, self.pacing.first_try_s);
+                let soon = now + self.random.uniform(0.0, self.pacing.first_try_s);
                 self.second_due = Some(self.second_due.map_or(soon, |due| due.min(soon)));
             }
             LostReason::Busy { retry_after_s } => {
@@ -290,7 +290,7 @@
         standing.failures = if stood { 1 } else { standing.failures.saturating_add(1) };
         let doublings = f64::from(standing.failures - 1);
         let longest = (self.pacing.avoid_s * doublings.exp2()).min(self.pacing.max_avoid_s);
-        standing.avoid_until = now + self.draw.between(longest / 2.0, longest);
+        standing.avoid_until = now + self.random.uniform(longest / 2.0, longest);
     }
 
     fn start(&mut self, relay: usize, now: f64, directives: &mut Vec<Directive>) {
@@ -324,11 +324,11 @@
         if self.search.is_none() {
             let mut order = self.ranking.clone();
             order.sort_by_key(|relay| self.standings[*relay].is_suspect(now, &self.pacing));
-            let first_at = now + self.draw.between(0.0, self.pacing.first_try_s);
+            let first_at = now + self.random.uniform(0.0, self.pacing.first_try_s);
             self.search = Some(Search::new(order, first_at));
         }
         let standings = &self.standings;
-        let pause = self.draw.between(0.8, 1.0) * self.pacing.sweep_s / self.relays.len().max(1) as f64;
+        let pause = self.random.uniform(0.8, 1.0) * self.pacing.sweep_s / self.relays.len().max(1) as f64;
         let Some(search) = &mut self.search else { return };
         let Some(relay) = search.next(now, pause, |relay| now < standings[relay].busy_until) else { return };
         self.make_room(relay, now, directives);
@@ -401,7 +401,7 @@
     fn open_second(&mut self, now: f64, directives: &mut Vec<Directive>) {
         let due = match self.second_due {
             Some(due) => due,
-            None => now + self.draw.between(0.0, self.pacing.second_s),
+            None => now + self.random.uniform(0.0, self.pacing.second_s),
         };
         self.second_due = Some(due);
         if now < due {
@@ -428,7 +428,7 @@
         };
         let due = match self.return_due {
             Some(due) => due,
-            None => now + self.draw.between(0.0, self.pacing.return_s),
+            None => now + self.random.uniform(0.0, self.pacing.return_s),
         };
         self.return_due = Some(due);
         if now >= due {
--- /dev/null
+++ b/crates/distribution/src/snapshot_admission.rs
@@ -0,0 +1,158 @@
+//! Admission control of the complete lists that a relay sends. A relay that restarts empty while all its heads request
+//! the complete list stays bounded in memory and in bytes sent per second: some lists are sent at once, the other requests
+//! wait in a first-in first-out queue, and requests beyond its bound are rejected with a retry delay. Watches that resume
+//! from the log are not counted here.
+
+use crate::random::CounterRandom;
+use std::collections::VecDeque;
+
+/// Limits of the complete lists that are sent.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SnapshotLimits {
+    /// Concurrent sends. Each may hold the text of an older version: at 1 MB a list 16 MB at most.
+    pub max_sending: usize,
+    /// Queued requests, each for 8 bytes here and its connection: all heads of the planned size on one relay.
+    pub max_queued: usize,
+    /// Bytes sent per second: 40% of a 1 Gbit/s link, so that changes go out beside them.
+    pub bytes_per_s: f64,
+    /// Time limit of one send, in seconds, so that slow readers do not block the others.
+    pub send_timeout_s: f64,
+    /// Rejected clients retry after a random delay between one and two times this, in seconds.
+    pub retry_delay_s: f64,
+}
+
+impl Default for SnapshotLimits {
+    fn default() -> SnapshotLimits {
+        SnapshotLimits {
+            max_sending: 16,
+            max_queued: 8192,
+            bytes_per_s: 50e6,
+            send_timeout_s: 20.0,
+            retry_delay_s: 4.0,
+        }
+    }
+}
+
+/// Identifies one request for the complete list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SnapshotRequestId(u64);
+
+/// The decision on a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum SnapshotDecision {
+    /// Send it now, and call [`SnapshotAdmission::finish`] when that has ended.
+    Admitted(SnapshotRequestId),
+    /// Wait until [`SnapshotAdmission::poll`] returns this request.
+    Queued(SnapshotRequestId),
+    /// The queue is full.
+    Rejected {
+        /// Random delay before the client may retry, in seconds.
+        retry_after_s: f64,
+    },
+}
+
+/// A request that waits for its admission.
+#[derive(Debug)]
+struct QueuedRequest {
+    id: SnapshotRequestId,
+    bytes: usize,
+}
+
+/// A list that is being sent.
+#[derive(Debug)]
+struct ActiveSend {
+    id: SnapshotRequestId,
+    started_at: f64,
+}
+
+/// The complete lists that are being sent, and the queue of requests.
+#[derive(Debug)]
+pub struct SnapshotAdmission {
+    limits: SnapshotLimits,
+    sending: Vec<ActiveSend>,
+    queue: VecDeque<QueuedRequest>,
+    /// When the byte rate lets the next send start.
+    rate_free_at: f64,
+    last_id: u64,
+    random: CounterRandom,
+}
+
+impl SnapshotAdmission {
+    /// No requests yet. The seed spreads the retry delays of different relays.
+    pub fn new(limits: SnapshotLimits, seed: u64) -> SnapshotAdmission {
+        SnapshotAdmission {
+            limits,
+            sending: Vec::new(),
+            queue: VecDeque::new(),
+            rate_free_at: f64::NEG_INFINITY,
+            last_id: 0,
+            random: CounterRandom::new(seed),
+        }
+    }
+
+    /// Requests to send a complete list of this size.
+    pub fn request(&mut self, bytes: usize, now: f64) -> SnapshotDecision {
+        if self.queue.len() >= self.limits.max_queued {
+            let shortest = self.limits.retry_delay_s;
+            let retry_after_s = self.random.uniform(shortest, 2.0 * shortest);
+            return SnapshotDecision::Rejected { retry_after_s };
+        }
+        self.last_id += 1;
+        let id = SnapshotRequestId(self.last_id);
+        if self.queue.is_empty() && self.has_capacity(now) {
+            self.admit(id, bytes, now);
+            return SnapshotDecision::Admitted(id);
+        }
+        self.queue.push_back(QueuedRequest { id, bytes });
+        SnapshotDecision::Queued(id)
+    }
+
+    /// Admits queued requests in their order as far as the limits allow, and returns them.
+    pub fn poll(&mut self, now: f64) -> Vec<SnapshotRequestId> {
+        let mut admitted = Vec::new();
+        while self.has_capacity(now) {
+            let Some(request) = self.queue.pop_front() else { break };
+            self.admit(request.id, request.bytes, now);
+            admitted.push(request.id);
+        }
+        admitted
+    }
+
+    /// A list was sent, or its client has gone.
+    pub fn finish(&mut self, id: SnapshotRequestId) {
+        self.sending.retain(|send| send.id != id);
+        self.queue.retain(|request| request.id != id);
+    }
+
+    /// The sends over the time limit: their watches have to end, and [`SnapshotAdmission::finish`] be called.
+    pub fn timed_out(&self, now: f64) -> Vec<SnapshotRequestId> {
+        let late = self.sending.iter().filter(|send| now - send.started_at >= self.limits.send_timeout_s);
+        late.map(|send| send.id).collect()
+    }
+
+    /// When [`SnapshotAdmission::poll`] may admit the next request; `None` if the queue is empty, or waits for the end of
+    /// a send rather than for the byte rate.
+    pub fn next_poll(&self) -> Option<f64> {
+        let waits_for_rate = self.sending.len() < self.limits.max_sending && !self.queue.is_empty();
+        waits_for_rate.then_some(self.rate_free_at)
+    }
+
+    /// Number of lists that are being sent.
+    pub fn sending(&self) -> usize {
+        self.sending.len()
+    }
+
+    /// Number of queued requests.
+    pub fn queued(&self) -> usize {
+        self.queue.len()
+    }
+
+    fn has_capacity(&self, now: f64) -> bool {
+        self.sending.len() < self.limits.max_sending && self.rate_free_at <= now
+    }
+
+    fn admit(&mut self, id: SnapshotRequestId, bytes: usize, now: f64) {
+        self.sending.push(ActiveSend { id, started_at: now });
+        self.rate_free_at = self.rate_free_at.max(now) + bytes as f64 / self.limits.bytes_per_s;
+    }
+}
--- /dev/null
+++ b/crates/distribution/src/update_filter.rs
@@ -0,0 +1,62 @@
+//! Filters the updates of a head that watches two relays at once. Each relay delivers the versions in order, but one may
+//! lag behind the other. A stale update would take nodes out of service for a moment, and an update that jumps over a
+//! version received from the other relay may lack what changed and changed back.
+
+use flaxgap_membership::Source;
+
+/// What to do with an update.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Verdict {
+    /// Apply it, with [`UpdateFilter::source`].
+    Apply,
+    /// Drop it: all of its content is known.
+    Duplicate,
+    /// Drop it, end this watch and watch the same relay again from the known version.
+    Rewatch,
+}
+
+/// The progress of one watch through the versions. Each watch that is opened gets its own filter.
+#[derive(Debug)]
+pub struct UpdateFilter {
+    source: Source,
+    received_version: u64,
+}
+
+impl UpdateFilter {
+    /// The filter of a watch that starts after a version; 0 for the complete list.
+    pub fn new(since: u64) -> UpdateFilter {
+        UpdateFilter { source: Source::at(since), received_version: since }
+    }
+
+    /// What membership records of this watch.
+    pub fn source(&mut self) -> &mut Source {
+        &mut self.source
+    }
+
+    /// The same relay is watched again, after a version; 0 for the complete list. Whether it lags behind is retained.
+    pub fn restart(&mut self, since: u64) {
+        self.received_version = since;
+    }
+
+    /// Whether the relay has lagged behind for so long that its complete list has to be requested.
+    pub fn needs_relist(&self, now: f64) -> bool {
+        self.source.counts_anew(now)
+    }
+
+    /// Decides on an update of this watch, by its version, whether it is a complete list, and the version that membership
+    /// has reached. Once a complete list has shown the relay to lag behind, all its updates are applied: membership
+    /// decides on each entry.
+    pub fn evaluate(&mut self, version: u64, is_complete: bool, known_version: u64) -> Verdict {
+        let previous_version = std::mem::replace(&mut self.received_version, version);
+        if is_complete || self.source.is_behind() {
+            return Verdict::Apply;
+        }
+        if version < known_version {
+            return Verdict::Duplicate;
+        }
+        if previous_version < known_version && known_version < version {
+            return Verdict::Rewatch;
+        }
+        Verdict::Apply
+    }
+}
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -1,32 +1,32 @@
-//! One watch on a relay's copy: where it stands, what it is sent next, and when it has to end. It holds no text of its
-//! own; what it sends is shared with all others.
+//! The state machine of one watch on a replica: its position, what is sent next, and when it ends. It owns no text; what
+//! it sends is shared with all other watches.
 
 use crate::log::Position;
-use crate::replica::{Read, Replica, ReplicaError, Resume, Status};
+use crate::replica::{ReadRecord, Replica, ReplicaError, ReplicaStatus, Resume};
 use bytes::Bytes;
 
-/// Why a watch ends. The watcher may ask again at once.
+/// Why a watch ends. The client may watch again at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// The source counts its versions anew.
+    /// Upstream restarted its numbering of versions.
     Renumbered,
-    /// The log does not reach back to where it stands.
+    /// The record at its position was compacted.
     TooFarBehind,
-    /// It took nothing for too long.
+    /// Its reader took nothing for too long.
     SlowReader,
 }
 
-/// What a watch is to do next.
+/// What a watch has to do next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
-    /// Send this, and ask again.
+pub enum WatchAction {
+    /// Send this line, and poll again.
     Send(Bytes),
-    /// Send an empty line, and ask again.
+    /// Send an empty line, and poll again.
     Heartbeat,
-    /// The whole list is needed: have it admitted ([`crate::admission`]), then send [`Watcher::take_whole`]. Said once;
-    /// until the list is taken there are heartbeats.
-    Whole,
-    /// Ask again at this time, or when the copy has changed or was heard of.
+    /// Request the admission of a complete list ([`crate::snapshot_admission`]), then send [`Watcher::take_snapshot`].
+    /// Returned once; until the list is taken the watch sends heartbeats.
+    RequestSnapshot,
+    /// Poll again at this time, or when the replica or its lease has changed.
     Wait {
         /// In seconds of Unix time.
         until: f64,
@@ -35,10 +35,10 @@
     End(EndReason),
 }
 
-/// What becomes of a watch whose reader takes nothing.
+/// What to do with a watch whose reader takes nothing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Blocked {
-    /// Ask again at this time if it still takes nothing.
+pub enum StallAction {
+    /// Check again at this time if the reader still takes nothing.
     Wait {
         /// In seconds of Unix time.
         until: f64,
@@ -47,123 +47,141 @@
     End(EndReason),
 }
 
-/// Where a watch stands.
+/// The state of a watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
-    /// It knows a version, and nothing was sent yet.
-    Asked { since: u64, asked_at: f64 },
-    /// It needs the whole list, and has not said so since it last could not be given.
-    NeedsWhole,
-    /// It waits for the whole list.
-    AwaitsWhole,
-    /// It is to be sent the record at this position.
-    Follows(Position),
+enum WatchState {
+    /// The client knows a version, and nothing was sent yet.
+    Starting { since: u64, started_at: f64 },
+    /// It needs the complete list, and has to request it again: the last request could not be served.
+    SnapshotNeeded,
+    /// It has requested the complete list.
+    SnapshotRequested,
+    /// The record at this position is sent next.
+    Following(Position),
 }
 
 /// One watch.
 #[derive(Debug)]
 pub struct Watcher {
     generation: u64,
-    stage: Stage,
-    heartbeat_at: f64,
-    blocked_since: Option<f64>,
+    state: WatchState,
+    next_heartbeat_at: f64,
+    stalled_since: Option<f64>,
 }
 
 impl Watcher {
-    /// A watch that asks for what came after a version, of a copy of this generation.
+    /// A watch after a version, on a replica of this generation.
     pub fn new(since: u64, generation: u64, now: f64) -> Watcher {
-        let stage = Stage::Asked { since, asked_at: now };
-        Watcher { generation, stage, heartbeat_at: now, blocked_since: None }
+        let state = WatchState::Starting { since, started_at: now };
+        Watcher { generation, state, next_heartbeat_at: now, stalled_since: None }
     }
 
-    /// What it does next, asked once all that it sent was taken. Nothing is sent while the copy is not current.
-    pub fn next(&mut self, replica: &Replica, now: f64) -> Next {
-        self.blocked_since = None;
+    /// The next action, polled once all that was sent before was taken. Nothing is sent while the replica is not current.
+    pub fn poll(&mut self, replica: &Replica, now: f64) -> WatchAction {
+        self.stalled_since = None;
         if replica.generation() != self.generation {
-            return Next::End(EndReason::Renumbered);
+            return WatchAction::End(EndReason::Renumbered);
         }
-        if replica.status(now) != Status::Current {
-            return Next::Wait { until: now + replica.limits().heartbeat_s };
+        if replica.status(now) != ReplicaStatus::Current {
+            return wait_for_lease(replica, now);
         }
-        match self.stage {
-            Stage::Asked { since, asked_at } => self.begin(since, asked_at, replica, now),
-            Stage::NeedsWhole => self.ask_whole(),
-            Stage::AwaitsWhole => self.idle(f64::INFINITY, replica, now),
-            Stage::Follows(position) => self.follow(position, replica, now),
+        match self.state {
+            WatchState::Starting { since, started_at } => self.start(since, started_at, replica, now),
+            WatchState::SnapshotNeeded => self.request_snapshot(),
+            WatchState::SnapshotRequested => self.idle(f64::INFINITY, replica, now),
+            WatchState::Following(position) => self.follow(position, replica, now),
         }
     }
 
-    fn begin(&mut self, since: u64, asked_at: f64, replica: &Replica, now: f64) -> Next {
-        let patience_ends = asked_at + replica.limits().catch_up_s;
+    fn start(&mut self, since: u64, started_at: f64, replica: &Replica, now: f64) -> WatchAction {
+        let catch_up_ends = started_at + replica.limits().catch_up_s;
         match replica.resume(since, now) {
-            Resume::NotCurrent => Next::Wait { until: now + replica.limits().heartbeat_s },
-            Resume::Ahead if now < patience_ends => self.idle(patience_ends, replica, now),
-            Resume::Ahead | Resume::Whole => self.ask_whole(),
-            Resume::Changes { from } => {
-                self.stage = Stage::Follows(from);
-                match self.follow(from, replica, now) {
-                    Next::Heartbeat | Next::Wait { .. } => Next::Send(replica.no_changes()),
-                    next => next,
-                }
-            }
+            Resume::NotCurrent => wait_for_lease(replica, now),
+            Resume::WatcherAhead if now < catch_up_ends => self.idle(catch_up_ends, replica, now),
+            Resume::WatcherAhead | Resume::Snapshot => self.request_snapshot(),
+            Resume::Changes { from } => self.start_following(from, replica, now),
+        }
+    }
+
+    /// Each watch starts with a list: one without changes if the log has none.
+    fn start_following(&mut self, from: Position, replica: &Replica, now: f64) -> WatchAction {
+        self.state = WatchState::Following(from);
+        match self.follow(from, replica, now) {
+            WatchAction::Heartbeat | WatchAction::Wait { .. } => WatchAction::Send(replica.no_changes()),
+            action => action,
         }
     }
 
-    fn ask_whole(&mut self) -> Next {
-        self.stage = Stage::AwaitsWhole;
-        Next::Whole
+    fn request_snapshot(&mut self) -> WatchAction {
+        self.state = WatchState::SnapshotRequested;
+        WatchAction::RequestSnapshot
     }
 
-    fn follow(&mut self, position: Position, replica: &Replica, now: f64) -> Next {
-        match replica.record_at(position) {
-            Read::Text(text) => {
-                self.stage = Stage::Follows(position.following());
-                self.heartbeat_at = now + replica.limits().heartbeat_s;
-                Next::Send(text)
+    fn follow(&mut self, position: Position, replica: &Replica, now: f64) -> WatchAction {
+        match replica.read(position) {
+            ReadRecord::Text(text) => {
+                self.state = WatchState::Following(position.next());
+                self.schedule_heartbeat(replica, now);
+                WatchAction::Send(text)
             }
-            Read::End => self.idle(f64::INFINITY, replica, now),
-            Read::Dropped => Next::End(EndReason::TooFarBehind),
+            ReadRecord::EndOfLog => self.idle(f64::INFINITY, replica, now),
+            ReadRecord::Compacted => WatchAction::End(EndReason::TooFarBehind),
         }
     }
 
-    /// Nothing to tell: a heartbeat when one is due.
-    fn idle(&mut self, until: f64, replica: &Replica, now: f64) -> Next {
-        if now < self.heartbeat_at {
-            return Next::Wait { until: until.min(self.heartbeat_at) };
+    /// Sends a heartbeat if one is due, else waits for the next one or for `until`.
+    fn idle(&mut self, until: f64, replica: &Replica, now: f64) -> WatchAction {
+        if now < self.next_heartbeat_at {
+            return WatchAction::Wait { until: until.min(self.next_heartbeat_at) };
         }
-        self.heartbeat_at = now + replica.limits().heartbeat_s;
-        Next::Heartbeat
+        self.schedule_heartbeat(replica, now);
+        WatchAction::Heartbeat
+    }
+
+    fn schedule_heartbeat(&mut self, replica: &Replica, now: f64) {
+        self.next_heartbeat_at = now + replica.limits().heartbeat_s;
     }
 
-    /// The whole list, once it may be sent; what comes after it follows. None if the copy is not current, or of another
-    /// generation: this request is finished, and [`Watcher::next`] says again what is needed.
-    pub fn take_whole(&mut self, replica: &mut Replica, now: f64) -> Result<Option<Bytes>, ReplicaError> {
-        if replica.generation() != self.generation || replica.status(now) != Status::Current {
-            self.stage = Stage::NeedsWhole;
+    /// The complete list, once its request was admitted; the watch follows the log after it. `None` if the replica is not
+    /// current, or of another generation: this request is finished, and [`Watcher::poll`] returns what is needed.
+    pub fn take_snapshot(&mut self, replica: &mut Replica, now: f64) -> Result<Option<Bytes>, ReplicaError> {
+        if replica.generation() != self.generation || replica.status(now) != ReplicaStatus::Current {
+            self.state = WatchState::SnapshotNeeded;
             return Ok(None);
         }
         let text = replica.snapshot()?;
-        self.stage = Stage::Follows(replica.end());
-        self.heartbeat_at = now + replica.limits().heartbeat_s;
+        self.state = WatchState::Following(replica.end());
+        self.schedule_heartbeat(replica, now);
         Ok(Some(text))
     }
 
-    /// Its reader has taken a part of what was sent.
-    pub fn progressed(&mut self) {
-        self.blocked_since = None;
+    /// The reader has taken a part of what was sent.
+    pub fn write_progressed(&mut self) {
+        self.stalled_since = None;
     }
 
-    /// Its reader takes nothing of what was sent.
-    pub fn blocked(&mut self, replica: &Replica, now: f64) -> Blocked {
+    /// The reader takes nothing of what was sent.
+    pub fn write_stalled(&mut self, replica: &Replica, now: f64) -> StallAction {
         if replica.generation() != self.generation {
-            return Blocked::End(EndReason::Renumbered);
+            return StallAction::End(EndReason::Renumbered);
         }
-        if let Stage::Follows(position) = self.stage
-            && replica.record_at(position) == Read::Dropped
-        {
-            return Blocked::End(EndReason::TooFarBehind);
+        if self.is_compacted(replica) {
+            return StallAction::End(EndReason::TooFarBehind);
         }
-        let until = *self.blocked_since.get_or_insert(now) + replica.limits().slow_reader_s;
-        if now < until { Blocked::Wait { until } } else { Blocked::End(EndReason::SlowReader) }
+        let stalled_since = *self.stalled_since.get_or_insert(now);
+        let until = stalled_since + replica.limits().slow_reader_s;
+        if now < until { StallAction::Wait { until } } else { StallAction::End(EndReason::SlowReader) }
     }
+
+    fn is_compacted(&self, replica: &Replica) -> bool {
+        match self.state {
+            WatchState::Following(position) => replica.read(position) == ReadRecord::Compacted,
+            _ => false,
+        }
+    }
+}
+
+/// Nothing is sent while the lease is expired; the replica's caller polls again once it is renewed.
+fn wait_for_lease(replica: &Replica, now: f64) -> WatchAction {
+    WatchAction::Wait { until: now + replica.limits().heartbeat_s }
 }
--- a/crates/distribution/tests/fleet.rs
+++ b/crates/distribution/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use flaxgap_distribution::replica::Limits;
+use flaxgap_distribution::replica::ReplicaLimits;
 use flaxgap_membership::wire::{Entry, State};
 use std::collections::BTreeMap;
 use world::{Death, Plan, Relay, World, coming_relays, localities, relays};
@@ -24,7 +24,7 @@
         heads: localities(2, 4, heads),
         nodes: NODES,
         detailed: false,
-        limits: Limits::default(),
+        limits: ReplicaLimits::default(),
         upstream_lag_s: 0.3,
     })
 }
@@ -203,7 +203,7 @@
         heads: localities(2, 2, 24),
         nodes: 60,
         detailed: true,
-        limits: Limits::default(),
+        limits: ReplicaLimits::default(),
         upstream_lag_s: 0.3,
     })
 }
--- a/crates/distribution/tests/moves.rs
+++ b/crates/distribution/tests/moves.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use flaxgap_distribution::replica::Limits;
+use flaxgap_distribution::replica::ReplicaLimits;
 use flaxgap_membership::wire::{Entry, State};
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -20,7 +20,7 @@
         heads: localities(1, 2, 3),
         nodes: NODES,
         detailed: true,
-        limits: Limits::default(),
+        limits: ReplicaLimits::default(),
         upstream_lag_s: 0.3,
     })
 }
--- a/crates/distribution/tests/replica.rs
+++ b/crates/distribution/tests/replica.rs
@@ -1,7 +1,7 @@
 //! A relay's copy: what its watchers are told, from which version, and for how long.
 
 use bytes::Bytes;
-use flaxgap_distribution::replica::{Limits, Read, Replica, Resume, Status};
+use flaxgap_distribution::replica::{ReadRecord, Replica, ReplicaLimits, ReplicaStatus, Resume};
 use flaxgap_membership::compact::CompactList;
 use flaxgap_membership::wire::{Entry, List, State, Unread};
 use flaxgap_membership::{BEHIND, Change, Membership, Source};
@@ -27,7 +27,7 @@
 }
 
 /// A copy that has heard one whole list.
-fn replica(rev: u64, entries: &[Entry], limits: Limits) -> Replica {
+fn replica(rev: u64, entries: &[Entry], limits: ReplicaLimits) -> Replica {
     let mut replica = Replica::new(limits);
     replica.apply(list(rev, true, entries), NOW).expect("applied");
     replica
@@ -40,9 +40,9 @@
     };
     let mut lists = Vec::new();
     let mut position = from;
-    while let Read::Text(text) = replica.record_at(position) {
+    while let ReadRecord::Text(text) = replica.read(position) {
         lists.push(parse(&text));
-        position = position.following();
+        position = position.next();
     }
     lists
 }
@@ -74,7 +74,7 @@
 #[test]
 fn lists_are_written_in_the_published_form() {
     let entries = [entry("a", Ready, 12.5), entry("b", Draining, 0.0)];
-    let mut replica = replica(41, &entries, Limits::default());
+    let mut replica = replica(41, &entries, ReplicaLimits::default());
     let text = replica.snapshot().expect("a list");
     assert_eq!(
         std::str::from_utf8(&text).expect("text"),
@@ -94,7 +94,7 @@
 /// Guards against a text for each reader: a list of the coming size is encoded once for each version.
 #[test]
 fn a_whole_list_is_encoded_once_for_each_version() {
-    let mut replica = replica(41, &[entry("a", Ready, 0.0)], Limits::default());
+    let mut replica = replica(41, &[entry("a", Ready, 0.0)], ReplicaLimits::default());
     let (first, second) = (replica.snapshot().expect("a list"), replica.snapshot().expect("a list"));
     assert_eq!(first.as_ptr(), second.as_ptr());
     replica.apply(list(42, false, &[entry("a", Draining, 0.0)]), NOW).expect("applied");
@@ -105,7 +105,7 @@
 /// Given versions one after the other, when a watcher resumes from each, then it gets exactly what came after.
 #[test]
 fn a_watcher_resumes_exactly_after_the_version_that_it_knows() {
-    let mut replica = replica(41, &[entry("a", Ready, 0.0)], Limits::default());
+    let mut replica = replica(41, &[entry("a", Ready, 0.0)], ReplicaLimits::default());
     for rev in 42..50 {
         replica.apply(list(rev, false, &[entry("a", Ready, rev as f64)]), NOW).expect("applied");
     }
@@ -113,42 +113,42 @@
         let revs: Vec<u64> = records_since(&replica, since, NOW).iter().map(|list| list.rev).collect();
         assert_eq!(revs, (since + 1..50).collect::<Vec<_>>(), "since {since}");
     }
-    assert_eq!(replica.resume(40, NOW), Resume::Whole);
-    assert_eq!(replica.resume(0, NOW), Resume::Whole);
-    assert_eq!(replica.resume(50, NOW), Resume::Ahead);
+    assert_eq!(replica.resume(40, NOW), Resume::Snapshot);
+    assert_eq!(replica.resume(0, NOW), Resume::Snapshot);
+    assert_eq!(replica.resume(50, NOW), Resume::WatcherAhead);
 }
 
 /// Given more changes than the log may hold, by number or by bytes, when one resumes, then the first version that the log
 /// leads on from serves, and the one below it gets the whole list; the log keeps its bounds at each step.
 #[test]
 fn the_log_keeps_its_bounds_and_serves_from_its_first_version() {
-    let by_number = Limits { log_changes: 5, ..Limits::default() };
-    let by_bytes = Limits { log_bytes: 700, ..Limits::default() };
+    let by_number = ReplicaLimits { log_records: 5, ..ReplicaLimits::default() };
+    let by_bytes = ReplicaLimits { log_bytes: 700, ..ReplicaLimits::default() };
     for limits in [by_number, by_bytes] {
         let mut replica = replica(41, &[entry("a", Ready, 0.0)], limits.clone());
         for rev in 42..100 {
             replica.apply(list(rev, false, &[entry("a", Ready, rev as f64)]), NOW).expect("applied");
-            assert!(replica.log().bytes() <= limits.log_bytes && replica.log().len() <= limits.log_changes);
-            let base = replica.log().base();
+            assert!(replica.log().bytes() <= limits.log_bytes && replica.log().len() <= limits.log_records);
+            let base = replica.log().compacted_version();
             assert_eq!(base + replica.log().len() as u64, rev);
             assert_eq!(records_since(&replica, base, NOW).len(), replica.log().len());
-            assert_eq!(replica.resume(base - 1, NOW), Resume::Whole);
+            assert_eq!(replica.resume(base - 1, NOW), Resume::Snapshot);
         }
-        assert!(replica.log().base() >= 94, "the log was full");
+        assert!(replica.log().compacted_version() >= 94, "the log was full");
     }
 }
 
 /// Given a change that is larger than the whole log, when it comes, then it is not split, and all get the whole list.
 #[test]
 fn a_change_over_the_bound_is_dropped_as_a_whole() {
-    let limits = Limits { log_bytes: 300, ..Limits::default() };
+    let limits = ReplicaLimits { log_bytes: 300, ..ReplicaLimits::default() };
     let mut replica = replica(41, &[], limits);
     let Resume::Changes { from } = replica.resume(41, NOW) else { panic!("current") };
     let many: Vec<Entry> = (0..10).map(|n| entry(&format!("s-{n}"), Ready, 0.0)).collect();
     replica.apply(list(42, false, &many), NOW).expect("applied");
-    assert_eq!((replica.log().bytes(), replica.log().base()), (0, 42));
-    assert_eq!(replica.record_at(from), Read::Dropped);
-    assert_eq!(replica.resume(41, NOW), Resume::Whole);
+    assert_eq!((replica.log().bytes(), replica.log().compacted_version()), (0, 42));
+    assert_eq!(replica.read(from), ReadRecord::Compacted);
+    assert_eq!(replica.resume(41, NOW), Resume::Snapshot);
     assert!(matches!(replica.resume(42, NOW), Resume::Changes { .. }));
 }
 
@@ -156,16 +156,16 @@
 #[test]
 fn of_a_whole_list_only_what_changed_is_told() {
     let first = [entry("a", Ready, 0.0), entry("b", Ready, 0.0), entry("c", Ready, 0.0)];
-    let mut replica = replica(41, &first, Limits::default());
+    let mut replica = replica(41, &first, ReplicaLimits::default());
     let second = [entry("a", Ready, 0.0), entry("b", Draining, 0.0), entry("d", Ready, 7.0)];
     let applied = replica.apply(list(42, true, &second), NOW).expect("applied");
-    assert_eq!((applied.changed, applied.version), (3, 42));
+    assert_eq!((applied.changed_entries, applied.version), (3, 42));
     let records = records_since(&replica, 41, NOW);
     let told: BTreeMap<&str, State> =
         records[0].entries.iter().map(|entry| (entry.name.as_str(), entry.state)).collect();
     assert_eq!(told, [("b", Draining), ("c", Gone), ("d", Ready)].into());
     // The same once more says nothing.
-    assert_eq!(replica.apply(list(42, true, &second), NOW).expect("applied").changed, 0);
+    assert_eq!(replica.apply(list(42, true, &second), NOW).expect("applied").changed_entries, 0);
     assert_eq!(records_since(&replica, 41, NOW).len(), 1);
 }
 
@@ -174,12 +174,12 @@
 #[test]
 fn a_record_over_skipped_versions_serves_nobody_from_between() {
     let first = [entry("a", Ready, 0.0), entry("b", Ready, 0.0)];
-    let mut replica = replica(41, &first, Limits::default());
+    let mut replica = replica(41, &first, ReplicaLimits::default());
     replica
         .apply(list(44, true, &[entry("a", Ready, 0.0), entry("b", Draining, 0.0)]), NOW)
         .expect("applied");
     assert_eq!(records_since(&replica, 41, NOW).len(), 1);
-    assert_eq!([replica.resume(42, NOW), replica.resume(43, NOW)], [Resume::Whole, Resume::Whole]);
+    assert_eq!([replica.resume(42, NOW), replica.resume(43, NOW)], [Resume::Snapshot, Resume::Snapshot]);
     assert_eq!(records_since(&replica, 44, NOW), []);
     // Changes over skipped versions name all nodes that changed meanwhile, and serve all.
     replica.apply(list(47, false, &[entry("a", Ready, 0.0)]), NOW).expect("applied");
@@ -192,11 +192,11 @@
 #[test]
 fn a_drain_told_late_reaches_all_and_is_taken_back_for_all() {
     let ready = [entry("a", Ready, 0.0), entry("b", Ready, 0.0)];
-    let mut replica = replica(41, &ready, Limits::default());
+    let mut replica = replica(41, &ready, ReplicaLimits::default());
     let (mut early, mut late) = (Head::default(), Head::default());
     early.hear(parse(&replica.snapshot().expect("a list")), NOW);
     let applied = replica.apply(list(40, false, &[entry("a", Draining, 0.0)]), NOW).expect("applied");
-    assert!(applied.behind && applied.changed == 1 && replica.version() == 41);
+    assert!(applied.is_behind && applied.changed_entries == 1 && replica.version() == 41);
     for list in records_since(&replica, 41, NOW) {
         early.hear(list, NOW);
     }
@@ -204,9 +204,9 @@
     assert_eq!((early.state("a"), late.state("a")), (Some(Draining), Some(Draining)));
     // The source catches up without a word on the node: the whole list is wanted.
     replica.apply(list(41, false, &[]), NOW).expect("applied");
-    assert!(replica.wants_whole(NOW));
+    assert!(replica.needs_relist(NOW));
     replica.apply(list(41, true, &ready), NOW).expect("applied");
-    assert!(!replica.wants_whole(NOW));
+    assert!(!replica.needs_relist(NOW));
     replica.apply(list(42, false, &[entry("b", Ready, 0.0)]), NOW).expect("applied");
     for list in records_since(&replica, 41, NOW) {
         early.hear(list.clone(), NOW);
@@ -220,10 +220,10 @@
 #[test]
 fn an_entry_that_cant_be_read_takes_no_node_from_a_head() {
     let spoilt = Unread { place: 1, name: Some("b".into()), problem: "endpoint".into() };
-    let mut replica = Replica::new(Limits::default());
+    let mut replica = Replica::new(ReplicaLimits::default());
     let whole = List { unread: vec![spoilt], ..list(41, true, &[entry("a", Ready, 0.0)]) };
     let applied = replica.apply(whole, NOW).expect("applied");
-    assert_eq!(applied.unread, 1);
+    assert_eq!(applied.unparsed, 1);
     let mut head = Head::default();
     head.hear(list(40, true, &[entry("a", Ready, 0.0), entry("b", Ready, 0.0)]), NOW);
     head.hear(parse(&replica.snapshot().expect("a list")), NOW);
@@ -239,7 +239,8 @@
 /// Given a change in which a known node can't be read, when it is taken in, then what was known of the node stands.
 #[test]
 fn a_spoilt_change_leaves_what_was_known() {
-    let mut replica = replica(41, &[entry("a", Ready, 0.0), entry("b", Ready, 0.0)], Limits::default());
+    let mut replica =
+        replica(41, &[entry("a", Ready, 0.0), entry("b", Ready, 0.0)], ReplicaLimits::default());
     let spoilt = Unread { place: 0, name: Some("a".into()), problem: "endpoint".into() };
     replica
         .apply(List { unread: vec![spoilt], ..list(42, false, &[entry("b", Draining, 0.0)]) }, NOW)
@@ -252,7 +253,7 @@
 /// Given a drain without an address, a shard or a start, when it is passed on, then it has what was known of the node.
 #[test]
 fn a_drain_is_completed_by_what_is_known() {
-    let mut replica = replica(41, &[entry("a", Ready, 7.0)], Limits::default());
+    let mut replica = replica(41, &[entry("a", Ready, 7.0)], ReplicaLimits::default());
     let bare = Entry { address: None, shard: None, zone: String::new(), ..entry("a", Draining, 0.0) };
     replica.apply(list(42, false, &[bare]), NOW).expect("applied");
     assert_eq!(parse(&replica.snapshot().expect("a list")).entries, [entry("a", Draining, 7.0)]);
@@ -263,7 +264,8 @@
 /// in a list that is behind.
 #[test]
 fn versions_that_go_back_repeat_or_skip_do_no_harm() {
-    let mut replica = replica(41, &[entry("a", Draining, 0.0), entry("b", Ready, 0.0)], Limits::default());
+    let mut replica =
+        replica(41, &[entry("a", Draining, 0.0), entry("b", Ready, 0.0)], ReplicaLimits::default());
     let mut head = Head::default();
     head.hear(parse(&replica.snapshot().expect("a list")), NOW);
     let mut direct = Head::default();
@@ -299,18 +301,19 @@
 /// stands: the generation is another, and nobody resumes from the old one's log.
 #[test]
 fn a_source_that_counts_anew_renews_log_and_generation() {
-    let mut replica = replica(900, &[entry("a", Ready, 0.0), entry("b", Ready, 0.0)], Limits::default());
+    let mut replica =
+        replica(900, &[entry("a", Ready, 0.0), entry("b", Ready, 0.0)], ReplicaLimits::default());
     replica.apply(list(901, false, &[entry("a", Draining, 0.0)]), NOW).expect("applied");
     let anew = [entry("a", Ready, 0.0), entry("c", Ready, 0.0)];
     replica.apply(list(1, true, &anew), NOW + 1.0).expect("applied");
     assert_eq!((replica.version(), replica.generation()), (901, 0));
-    assert!(!replica.wants_whole(NOW + 1.0 + BEHIND - 0.1));
-    assert!(replica.wants_whole(NOW + 1.0 + BEHIND));
+    assert!(!replica.needs_relist(NOW + 1.0 + BEHIND - 0.1));
+    assert!(replica.needs_relist(NOW + 1.0 + BEHIND));
     let applied = replica.apply(list(1, true, &anew), NOW + 1.0 + BEHIND).expect("applied");
     assert!(applied.renumbered);
     assert_eq!((replica.version(), replica.generation(), replica.log().len()), (1, 1, 0));
     let now = NOW + 1.0 + BEHIND;
-    assert_eq!([replica.resume(901, now), replica.resume(0, now)], [Resume::Ahead, Resume::Whole]);
+    assert_eq!([replica.resume(901, now), replica.resume(0, now)], [Resume::WatcherAhead, Resume::Snapshot]);
     let snapshot = parse(&replica.snapshot().expect("a list"));
     let listed: Vec<(&str, State)> =
         snapshot.entries.iter().map(|entry| (entry.name.as_str(), entry.state)).collect();
@@ -322,20 +325,20 @@
 /// Given the lease, when its end comes, then the copy says of itself that it is not current, until upstream is heard.
 #[test]
 fn the_lease_ends_what_may_be_told() {
-    let mut replica = Replica::new(Limits::default());
-    replica.heard(NOW);
-    assert_eq!((replica.status(NOW), replica.resume(0, NOW)), (Status::Empty, Resume::NotCurrent));
+    let mut replica = Replica::new(ReplicaLimits::default());
+    replica.renew_lease(NOW);
+    assert_eq!((replica.status(NOW), replica.resume(0, NOW)), (ReplicaStatus::Empty, Resume::NotCurrent));
     replica.apply(list(41, false, &[entry("a", Ready, 0.0)]), NOW).expect("applied");
-    assert_eq!(replica.status(NOW), Status::Empty, "changes alone are no list");
+    assert_eq!(replica.status(NOW), ReplicaStatus::Empty, "changes alone are no list");
     replica.apply(list(41, true, &[entry("a", Ready, 0.0)]), NOW).expect("applied");
     let lease = replica.limits().lease_s;
-    assert_eq!(replica.lease_ends(), Some(NOW + lease));
-    assert_eq!(replica.status(NOW + lease - 0.001), Status::Current);
-    assert_eq!(replica.status(NOW + lease), Status::Expired);
+    assert_eq!(replica.lease_expires_at(), Some(NOW + lease));
+    assert_eq!(replica.status(NOW + lease - 0.001), ReplicaStatus::Current);
+    assert_eq!(replica.status(NOW + lease), ReplicaStatus::Expired);
     assert_eq!(replica.resume(41, NOW + lease), Resume::NotCurrent);
-    replica.heard(NOW + lease + 1.0);
-    assert_eq!(replica.status(NOW + lease + 1.0), Status::Current);
+    replica.renew_lease(NOW + lease + 1.0);
+    assert_eq!(replica.status(NOW + lease + 1.0), ReplicaStatus::Current);
     // A word from the past does not shorten it.
-    replica.heard(NOW);
-    assert_eq!(replica.lease_ends(), Some(NOW + 2.0 * lease + 1.0));
+    replica.renew_lease(NOW);
+    assert_eq!(replica.lease_expires_at(), Some(NOW + 2.0 * lease + 1.0));
 }
--- a/crates/distribution/tests/admission.rs
+++ b/crates/distribution/tests/snapshot_admission.rs
@@ -1,19 +1,27 @@
 //! Whole lists: how many are sent at a time, how many bytes in a second, and in which order.
 
-use flaxgap_distribution::admission::{Admission, AdmissionLimits, Admit, Ticket};
+use flaxgap_distribution::snapshot_admission::{
+    SnapshotAdmission, SnapshotDecision, SnapshotLimits, SnapshotRequestId,
+};
 
 const NOW: f64 = 1000.0;
 /// A list of the coming size, in bytes.
 const LIST: usize = 900_000;
 
-fn limits() -> AdmissionLimits {
-    AdmissionLimits { sends: 4, waiting: 100, bytes_per_s: 9e6, send_s: 20.0, retry_s: 4.0 }
+fn limits() -> SnapshotLimits {
+    SnapshotLimits {
+        max_sending: 4,
+        max_queued: 100,
+        bytes_per_s: 9e6,
+        send_timeout_s: 20.0,
+        retry_delay_s: 4.0,
+    }
 }
 
-fn waiting(admission: &mut Admission, count: usize) -> Vec<Ticket> {
+fn waiting(admission: &mut SnapshotAdmission, count: usize) -> Vec<SnapshotRequestId> {
     let ticket = |admit| match admit {
-        Admit::Send(ticket) | Admit::Wait(ticket) => ticket,
-        Admit::Retry { .. } => panic!("turned away"),
+        SnapshotDecision::Admitted(ticket) | SnapshotDecision::Queued(ticket) => ticket,
+        SnapshotDecision::Rejected { .. } => panic!("turned away"),
     };
     (0..count).map(|_| ticket(admission.request(LIST, NOW))).collect()
 }
@@ -22,15 +30,15 @@
 /// one list, and all are served in the order in which they came.
 #[test]
 fn bytes_per_second_are_bounded_and_the_order_is_kept() {
-    let mut admission = Admission::new(limits(), 1);
+    let mut admission = SnapshotAdmission::new(limits(), 1);
     let tickets = waiting(&mut admission, 60);
-    admission.finished(tickets[0]);
+    admission.finish(tickets[0]);
     let mut served = vec![(NOW, tickets[0])];
     while served.len() < 60 {
         let now = admission.next_poll().expect("some wait");
         for ticket in admission.poll(now) {
             served.push((now, ticket));
-            admission.finished(ticket);
+            admission.finish(ticket);
         }
     }
     assert!(served.iter().map(|(_, ticket)| *ticket).eq(tickets));
@@ -46,35 +54,35 @@
 /// one has ended or was overdue.
 #[test]
 fn lists_in_progress_are_bounded() {
-    let mut admission = Admission::new(limits(), 1);
+    let mut admission = SnapshotAdmission::new(limits(), 1);
     let tickets = waiting(&mut admission, 10);
     for seconds in 0..20 {
         admission.poll(NOW + f64::from(seconds));
         assert!(admission.sending() <= 4);
     }
-    assert_eq!((admission.sending(), admission.waiting(), admission.next_poll()), (4, 6, None));
-    assert_eq!(admission.overdue(NOW + 20.5), tickets[..1]);
-    admission.finished(tickets[0]);
+    assert_eq!((admission.sending(), admission.queued(), admission.next_poll()), (4, 6, None));
+    assert_eq!(admission.timed_out(NOW + 20.5), tickets[..1]);
+    admission.finish(tickets[0]);
     assert_eq!(admission.poll(NOW + 21.0), [tickets[4]]);
     // One that waits and goes takes no place.
-    admission.finished(tickets[5]);
-    admission.finished(tickets[1]);
+    admission.finish(tickets[5]);
+    admission.finish(tickets[1]);
     assert_eq!(admission.poll(NOW + 22.0), [tickets[6]]);
 }
 
 /// Given more requests than may wait, when they come, then they are told to come again, each after a time of its own.
 #[test]
 fn who_can_not_wait_comes_again_at_a_drawn_time() {
-    let mut admission = Admission::new(limits(), 7);
+    let mut admission = SnapshotAdmission::new(limits(), 7);
     waiting(&mut admission, 101);
     let mut delays: Vec<f64> = (0..200)
         .map(|_| match admission.request(LIST, NOW) {
-            Admit::Retry { after_s } => after_s,
+            SnapshotDecision::Rejected { retry_after_s } => retry_after_s,
             other => panic!("{other:?}"),
         })
         .collect();
     delays.sort_by(f64::total_cmp);
     assert!(delays[0] >= 4.0 && delays[199] <= 8.0);
     assert!(delays[0] < 4.3 && delays[199] > 7.7, "spread from {} to {}", delays[0], delays[199]);
-    assert_eq!(admission.waiting(), 100);
+    assert_eq!(admission.queued(), 100);
 }
--- a/crates/distribution/tests/intake.rs
+++ b/crates/distribution/tests/update_filter.rs
@@ -1,6 +1,6 @@
 //! What a head takes of two relays, one of which is behind the other.
 
-use flaxgap_distribution::intake::{Intake, Verdict};
+use flaxgap_distribution::update_filter::{UpdateFilter, Verdict};
 use flaxgap_membership::wire::{Entry, List, State};
 use flaxgap_membership::{BEHIND, Membership};
 
@@ -16,39 +16,39 @@
 /// Given lists in their order, when the other watch has told some of them, then these are known and the rest is taken.
 #[test]
 fn what_the_other_watch_told_is_known() {
-    let mut intake = Intake::new(41);
-    assert_eq!(intake.consider(42, false, 41), Verdict::Take);
-    assert_eq!(intake.consider(43, false, 45), Verdict::Known);
-    assert_eq!(intake.consider(44, false, 45), Verdict::Known);
+    let mut intake = UpdateFilter::new(41);
+    assert_eq!(intake.evaluate(42, false, 41), Verdict::Apply);
+    assert_eq!(intake.evaluate(43, false, 45), Verdict::Duplicate);
+    assert_eq!(intake.evaluate(44, false, 45), Verdict::Duplicate);
     // The last version may be told once more, with a drain that came late.
-    assert_eq!(intake.consider(45, false, 45), Verdict::Take);
-    assert_eq!(intake.consider(46, false, 45), Verdict::Take);
+    assert_eq!(intake.evaluate(45, false, 45), Verdict::Apply);
+    assert_eq!(intake.evaluate(46, false, 45), Verdict::Apply);
 }
 
 /// Given a list that jumps over a version known from the other watch, when it comes, then the relay is asked again, with
 /// that version; one that jumps over versions that nobody told is taken.
 #[test]
 fn a_list_that_jumps_over_the_known_version_is_not_taken() {
-    let mut intake = Intake::new(41);
-    assert_eq!(intake.consider(44, false, 42), Verdict::AskAgain);
-    intake.asks(42);
-    assert_eq!(intake.consider(44, false, 42), Verdict::Take);
-    assert_eq!(intake.consider(50, false, 44), Verdict::Take);
-    assert_eq!(intake.consider(60, true, 55), Verdict::Take);
+    let mut intake = UpdateFilter::new(41);
+    assert_eq!(intake.evaluate(44, false, 42), Verdict::Rewatch);
+    intake.restart(42);
+    assert_eq!(intake.evaluate(44, false, 42), Verdict::Apply);
+    assert_eq!(intake.evaluate(50, false, 44), Verdict::Apply);
+    assert_eq!(intake.evaluate(60, true, 55), Verdict::Apply);
 }
 
 /// Given a relay whose source counts anew, when its whole list comes, then its changes are taken too, and after the time
 /// that membership states it is to be asked for the whole list, also on another connection.
 #[test]
 fn a_relay_that_counts_anew_is_asked_for_the_whole_list() {
-    let (mut membership, mut intake) = (Membership::default(), Intake::new(0));
+    let (mut membership, mut intake) = (Membership::default(), UpdateFilter::new(0));
     membership.take(list(900, true), intake.source(), NOW);
-    assert_eq!(intake.consider(1, true, 900), Verdict::Take);
+    assert_eq!(intake.evaluate(1, true, 900), Verdict::Apply);
     membership.take(list(1, true), intake.source(), NOW);
-    assert_eq!(intake.consider(2, false, 900), Verdict::Take);
-    assert!(!intake.wants_whole(NOW + BEHIND - 0.1));
-    intake.asks(0);
-    assert!(intake.wants_whole(NOW + BEHIND));
+    assert_eq!(intake.evaluate(2, false, 900), Verdict::Apply);
+    assert!(!intake.needs_relist(NOW + BEHIND - 0.1));
+    intake.restart(0);
+    assert!(intake.needs_relist(NOW + BEHIND));
     membership.take(list(2, true), intake.source(), NOW + BEHIND);
-    assert_eq!((membership.version(), intake.wants_whole(NOW + BEHIND)), (2, false));
+    assert_eq!((membership.version(), intake.needs_relist(NOW + BEHIND)), (2, false));
 }
--- a/crates/distribution/tests/watcher.rs
+++ b/crates/distribution/tests/watcher.rs
@@ -1,7 +1,7 @@
 //! One watch: what it is sent and when, when it is silent, and when it ends.
 
-use flaxgap_distribution::replica::{Limits, Replica};
-use flaxgap_distribution::watcher::{Blocked, EndReason, Next, Watcher};
+use flaxgap_distribution::replica::{Replica, ReplicaLimits};
+use flaxgap_distribution::watcher::{EndReason, StallAction, WatchAction, Watcher};
 use flaxgap_membership::BEHIND;
 use flaxgap_membership::wire::{Entry, List, State};
 
@@ -17,19 +17,19 @@
 }
 
 fn replica() -> Replica {
-    let mut replica = Replica::new(Limits::default());
+    let mut replica = Replica::new(ReplicaLimits::default());
     replica.apply(list(41, true), NOW).expect("applied");
     replica
 }
 
-fn rev(next: Next) -> u64 {
-    let Next::Send(text) = next else { panic!("nothing to send: {next:?}") };
+fn rev(next: WatchAction) -> u64 {
+    let WatchAction::Send(text) = next else { panic!("nothing to send: {next:?}") };
     List::parse(&text).expect("a list").rev
 }
 
 /// What a watch that knows the relay's version hears first: a list of that version without entries.
-fn assert_no_changes(next: Next, version: u64) {
-    let Next::Send(text) = next else { panic!("no list: {next:?}") };
+fn assert_no_changes(next: WatchAction, version: u64) {
+    let WatchAction::Send(text) = next else { panic!("no list: {next:?}") };
     let expected = List { rev: version, all: false, entries: vec![], unread: vec![] };
     assert_eq!(List::parse(&text).expect("a list"), expected);
 }
@@ -39,13 +39,13 @@
 fn a_watch_with_nothing_new_hears_an_empty_line_each_2_s() {
     let mut replica = replica();
     let mut watcher = Watcher::new(41, replica.generation(), NOW);
-    assert_no_changes(watcher.next(&replica, NOW), 41);
+    assert_no_changes(watcher.poll(&replica, NOW), 41);
     let (mut heartbeats, mut now) = (Vec::new(), NOW);
     while now < NOW + 7.0 {
-        replica.heard(now);
-        match watcher.next(&replica, now) {
-            Next::Heartbeat => heartbeats.push(now - NOW),
-            Next::Wait { until } => now = until,
+        replica.renew_lease(now);
+        match watcher.poll(&replica, now) {
+            WatchAction::Heartbeat => heartbeats.push(now - NOW),
+            WatchAction::Wait { until } => now = until,
             other => panic!("{other:?}"),
         }
     }
@@ -60,10 +60,10 @@
     for version in 42..45 {
         replica.apply(list(version, false), NOW).expect("applied");
     }
-    assert_eq!([42, 43, 44], [(); 3].map(|()| rev(watcher.next(&replica, NOW + 1.0))));
-    assert_eq!(watcher.next(&replica, NOW + 1.0), Next::Wait { until: NOW + 3.0 });
+    assert_eq!([42, 43, 44], [(); 3].map(|()| rev(watcher.poll(&replica, NOW + 1.0))));
+    assert_eq!(watcher.poll(&replica, NOW + 1.0), WatchAction::Wait { until: NOW + 3.0 });
     replica.apply(list(45, false), NOW + 1.5).expect("applied");
-    assert_eq!(rev(watcher.next(&replica, NOW + 1.5)), 45);
+    assert_eq!(rev(watcher.poll(&replica, NOW + 1.5)), 45);
 }
 
 /// Given a watch that knows too little, when it asks, then it says once that it needs the whole list, hears heartbeats
@@ -72,15 +72,15 @@
 fn a_watch_waits_for_the_whole_list_and_goes_on_after_it() {
     let mut replica = replica();
     let mut watcher = Watcher::new(7, replica.generation(), NOW);
-    assert_eq!(watcher.next(&replica, NOW), Next::Whole);
-    assert_eq!(watcher.next(&replica, NOW), Next::Heartbeat);
+    assert_eq!(watcher.poll(&replica, NOW), WatchAction::RequestSnapshot);
+    assert_eq!(watcher.poll(&replica, NOW), WatchAction::Heartbeat);
     replica.apply(list(42, false), NOW + 1.0).expect("applied");
-    assert_eq!(watcher.next(&replica, NOW + 1.0), Next::Wait { until: NOW + 2.0 });
-    let whole = watcher.take_whole(&mut replica, NOW + 1.0).expect("written").expect("current");
+    assert_eq!(watcher.poll(&replica, NOW + 1.0), WatchAction::Wait { until: NOW + 2.0 });
+    let whole = watcher.take_snapshot(&mut replica, NOW + 1.0).expect("written").expect("current");
     assert_eq!(List::parse(&whole).expect("a list").rev, 42);
-    assert_eq!(watcher.next(&replica, NOW + 1.0), Next::Wait { until: NOW + 3.0 });
+    assert_eq!(watcher.poll(&replica, NOW + 1.0), WatchAction::Wait { until: NOW + 3.0 });
     replica.apply(list(43, false), NOW + 1.0).expect("applied");
-    assert_eq!(rev(watcher.next(&replica, NOW + 1.0)), 43);
+    assert_eq!(rev(watcher.poll(&replica, NOW + 1.0)), 43);
 }
 
 /// Given a whole list that is admitted after the lease's end, when it is taken, then nothing is sent, and it is asked for
@@ -89,12 +89,12 @@
 fn no_whole_list_is_sent_after_the_lease() {
     let mut replica = replica();
     let mut watcher = Watcher::new(7, replica.generation(), NOW);
-    assert_eq!(watcher.next(&replica, NOW), Next::Whole);
+    assert_eq!(watcher.poll(&replica, NOW), WatchAction::RequestSnapshot);
     let late = NOW + replica.limits().lease_s;
-    assert_eq!(watcher.take_whole(&mut replica, late).expect("written"), None);
-    assert!(matches!(watcher.next(&replica, late), Next::Wait { .. }));
-    replica.heard(late);
-    assert_eq!(watcher.next(&replica, late), Next::Whole);
+    assert_eq!(watcher.take_snapshot(&mut replica, late).expect("written"), None);
+    assert!(matches!(watcher.poll(&replica, late), WatchAction::Wait { .. }));
+    replica.renew_lease(late);
+    assert_eq!(watcher.poll(&replica, late), WatchAction::RequestSnapshot);
 }
 
 /// Given the lease's end, when a watch asks at any later time, then it is sent nothing, neither a change nor an empty line.
@@ -102,19 +102,19 @@
 fn after_the_lease_there_is_silence() {
     let mut replica = replica();
     let mut following = Watcher::new(41, replica.generation(), NOW);
-    assert_no_changes(following.next(&replica, NOW), 41);
+    assert_no_changes(following.poll(&replica, NOW), 41);
     replica.apply(list(42, false), NOW + 0.5).expect("applied");
     let mut asked = Watcher::new(42, replica.generation(), NOW);
     let mut ahead = Watcher::new(43, replica.generation(), NOW);
-    let end = replica.lease_ends().expect("a lease");
+    let end = replica.lease_expires_at().expect("a lease");
     for tenths in 0..100 {
         let now = end + f64::from(tenths) / 10.0;
         for watcher in [&mut following, &mut asked, &mut ahead] {
-            assert!(matches!(watcher.next(&replica, now), Next::Wait { .. }), "at {now}");
+            assert!(matches!(watcher.poll(&replica, now), WatchAction::Wait { .. }), "at {now}");
         }
     }
-    replica.heard(end + 10.0);
-    assert_eq!(rev(following.next(&replica, end + 10.0)), 42);
+    replica.renew_lease(end + 10.0);
+    assert_eq!(rev(following.poll(&replica, end + 10.0)), 42);
 }
 
 /// Given a watch that knows a newer version, when the relay reaches it in time, then it goes on from there and costs no
@@ -123,13 +123,13 @@
 fn a_watch_that_is_ahead_is_waited_for() {
     let mut replica = replica();
     let mut watcher = Watcher::new(43, replica.generation(), NOW);
-    assert_eq!(watcher.next(&replica, NOW), Next::Heartbeat);
+    assert_eq!(watcher.poll(&replica, NOW), WatchAction::Heartbeat);
     replica.apply(list(42, false), NOW + 1.0).expect("applied");
-    assert_eq!(watcher.next(&replica, NOW + 1.0), Next::Wait { until: NOW + 2.0 });
+    assert_eq!(watcher.poll(&replica, NOW + 1.0), WatchAction::Wait { until: NOW + 2.0 });
     replica.apply(list(43, false), NOW + 3.0).expect("applied");
-    assert_no_changes(watcher.next(&replica, NOW + 3.0), 43);
+    assert_no_changes(watcher.poll(&replica, NOW + 3.0), 43);
     replica.apply(list(44, false), NOW + 3.0).expect("applied");
-    assert_eq!(rev(watcher.next(&replica, NOW + 3.0)), 44);
+    assert_eq!(rev(watcher.poll(&replica, NOW + 3.0)), 44);
 }
 
 /// Given a watch that stays ahead, when 5 s have passed, then it gets the whole list, and not before.
@@ -141,11 +141,11 @@
     let asked_at = loop {
         asked += 1;
         assert!(asked <= 20, "no whole list at {now}");
-        replica.heard(now);
-        match watcher.next(&replica, now) {
-            Next::Heartbeat => {}
-            Next::Wait { until } => now = until,
-            Next::Whole => break now,
+        replica.renew_lease(now);
+        match watcher.poll(&replica, now) {
+            WatchAction::Heartbeat => {}
+            WatchAction::Wait { until } => now = until,
+            WatchAction::RequestSnapshot => break now,
             other => panic!("{other:?}"),
         }
     };
@@ -158,51 +158,51 @@
     let mut replica = replica();
     let mut watcher = Watcher::new(41, replica.generation(), NOW);
     replica.apply(list(42, false), NOW).expect("applied");
-    assert_eq!(rev(watcher.next(&replica, NOW)), 42);
+    assert_eq!(rev(watcher.poll(&replica, NOW)), 42);
     let slow = replica.limits().slow_reader_s;
-    assert_eq!(watcher.blocked(&replica, NOW), Blocked::Wait { until: NOW + slow });
-    assert_eq!(watcher.blocked(&replica, NOW + slow - 1.0), Blocked::Wait { until: NOW + slow });
-    watcher.progressed();
-    assert_eq!(watcher.blocked(&replica, NOW + slow), Blocked::Wait { until: NOW + 2.0 * slow });
-    assert_eq!(watcher.blocked(&replica, NOW + 2.0 * slow), Blocked::End(EndReason::SlowReader));
+    assert_eq!(watcher.write_stalled(&replica, NOW), StallAction::Wait { until: NOW + slow });
+    assert_eq!(watcher.write_stalled(&replica, NOW + slow - 1.0), StallAction::Wait { until: NOW + slow });
+    watcher.write_progressed();
+    assert_eq!(watcher.write_stalled(&replica, NOW + slow), StallAction::Wait { until: NOW + 2.0 * slow });
+    assert_eq!(watcher.write_stalled(&replica, NOW + 2.0 * slow), StallAction::End(EndReason::SlowReader));
 }
 
 /// Given a reader that is slower than the log is long, when its place was dropped, then it ends and may come again.
 #[test]
 fn a_watch_whose_place_was_dropped_ends() {
-    let mut replica = Replica::new(Limits { log_changes: 3, ..Limits::default() });
+    let mut replica = Replica::new(ReplicaLimits { log_records: 3, ..ReplicaLimits::default() });
     replica.apply(list(41, true), NOW).expect("applied");
     let mut watcher = Watcher::new(41, replica.generation(), NOW);
     let mut blocked = Watcher::new(41, replica.generation(), NOW);
-    assert_no_changes(watcher.next(&replica, NOW), 41);
-    assert_no_changes(blocked.next(&replica, NOW), 41);
+    assert_no_changes(watcher.poll(&replica, NOW), 41);
+    assert_no_changes(blocked.poll(&replica, NOW), 41);
     for version in 42..45 {
         replica.apply(list(version, false), NOW).expect("applied");
     }
-    assert!(matches!(blocked.blocked(&replica, NOW), Blocked::Wait { .. }));
+    assert!(matches!(blocked.write_stalled(&replica, NOW), StallAction::Wait { .. }));
     replica.apply(list(45, false), NOW).expect("applied");
-    assert_eq!(watcher.next(&replica, NOW), Next::End(EndReason::TooFarBehind));
-    assert_eq!(blocked.blocked(&replica, NOW), Blocked::End(EndReason::TooFarBehind));
+    assert_eq!(watcher.poll(&replica, NOW), WatchAction::End(EndReason::TooFarBehind));
+    assert_eq!(blocked.write_stalled(&replica, NOW), StallAction::End(EndReason::TooFarBehind));
     let mut again = Watcher::new(41, replica.generation(), NOW);
-    assert_eq!(again.next(&replica, NOW), Next::Whole);
+    assert_eq!(again.poll(&replica, NOW), WatchAction::RequestSnapshot);
 }
 
 /// Given a source that counts anew, when watches of the old count ask, then they end, whatever they wait for.
 #[test]
 fn watches_of_an_earlier_generation_end() {
-    let mut replica = Replica::new(Limits::default());
+    let mut replica = Replica::new(ReplicaLimits::default());
     replica.apply(list(900, true), NOW).expect("applied");
     let generation = replica.generation();
     let mut watchers = [900, 7, 950].map(|since| Watcher::new(since, generation, NOW));
     for watcher in &mut watchers {
-        watcher.next(&replica, NOW);
+        watcher.poll(&replica, NOW);
     }
     replica.apply(list(1, true), NOW).expect("applied");
     let now = NOW + BEHIND;
     assert!(replica.apply(list(1, true), now).expect("applied").renumbered);
     for watcher in &mut watchers {
-        assert_eq!(watcher.take_whole(&mut replica, now).expect("written"), None);
-        assert_eq!(watcher.blocked(&replica, now), Blocked::End(EndReason::Renumbered));
-        assert_eq!(watcher.next(&replica, now), Next::End(EndReason::Renumbered));
+        assert_eq!(watcher.take_snapshot(&mut replica, now).expect("written"), None);
+        assert_eq!(watcher.write_stalled(&replica, now), StallAction::End(EndReason::Renumbered));
+        assert_eq!(watcher.poll(&replica, now), WatchAction::End(EndReason::Renumbered));
     }
 }
--- a/crates/distribution/tests/world/head.rs
+++ b/crates/distribution/tests/world/head.rs
@@ -3,8 +3,8 @@
 use super::discovery::{Discovery, Said, said};
 use super::{Connection, Happening, Plan, START, Word, World};
 use bytes::Bytes;
-use flaxgap_distribution::intake::{Intake, Verdict};
 use flaxgap_distribution::selection::{Directive, Locality, LostReason, Selection, Slot};
+use flaxgap_distribution::update_filter::{UpdateFilter, Verdict};
 use flaxgap_membership::wire::List;
 use flaxgap_membership::{Change, Membership};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 struct Watch {
     connection: Connection,
     relay: usize,
-    intake: Intake,
+    intake: UpdateFilter,
     last_word: f64,
     /// It was asked for the whole list since its relay was found to count anew.
     asked_whole: bool,
@@ -103,12 +103,12 @@
             None => heading(text),
         };
         self.wholes += usize::from(list.all);
-        let verdict = watch.intake.consider(list.rev, list.all, known);
+        let verdict = watch.intake.evaluate(list.rev, list.all, known);
         if !self.heedless {
             match verdict {
-                Verdict::Take => {}
-                Verdict::Known => return false,
-                Verdict::AskAgain => return true,
+                Verdict::Apply => {}
+                Verdict::Duplicate => return false,
+                Verdict::Rewatch => return true,
             }
         }
         let Some(membership) = &mut self.membership else {
@@ -116,7 +116,7 @@
             return false;
         };
         let changes = membership.take(list, watch.intake.source(), now);
-        watch.asked_whole &= watch.intake.wants_whole(now);
+        watch.asked_whole &= watch.intake.needs_relist(now);
         for change in changes {
             let (name, word) = match change {
                 Change::Holds(entry) => (entry.name.clone(), said(&entry)),
@@ -188,7 +188,7 @@
         let watch = Watch {
             connection: Connection(0),
             relay,
-            intake: Intake::new(known),
+            intake: UpdateFilter::new(known),
             last_word: self.agenda.now,
             asked_whole: false,
         };
@@ -200,7 +200,7 @@
     fn head_asks(&mut self, head: usize, slot: Slot, since: u64) {
         let (connection, latency) = (self.agenda.connection(), self.agenda.latency());
         let Some(watch) = self.heads[head].watches.get_mut(&slot) else { return };
-        watch.intake.asks(since);
+        watch.intake.restart(since);
         watch.last_word = self.agenda.now;
         let old = std::mem::replace(&mut watch.connection, connection);
         let relay = watch.relay;
@@ -213,7 +213,7 @@
     fn head_asks_whole(&mut self, head: usize) {
         let now = self.agenda.now;
         let watches = self.heads[head].watches.iter_mut();
-        let due = watches.filter(|(_, watch)| !watch.asked_whole && watch.intake.wants_whole(now));
+        let due = watches.filter(|(_, watch)| !watch.asked_whole && watch.intake.needs_relist(now));
         let due: Vec<Slot> = due
             .map(|(slot, watch)| {
                 watch.asked_whole = true;
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -12,7 +12,7 @@
 pub use relay::{Death, Relay};
 
 use bytes::Bytes;
-use flaxgap_distribution::replica::Limits;
+use flaxgap_distribution::replica::ReplicaLimits;
 use flaxgap_distribution::selection::{Locality, LostReason, RelayInfo, Slot};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -46,7 +46,7 @@
     RelayAsked { relay: usize, head: usize, slot: Slot, connection: Connection, since: u64 },
     RelayLeft { relay: usize, connection: Connection },
     WatcherWakes { relay: usize, life: u64, connection: Connection },
-    WholeSent { relay: usize, life: u64, ticket: flaxgap_distribution::admission::Ticket },
+    WholeSent { relay: usize, life: u64, ticket: flaxgap_distribution::snapshot_admission::SnapshotRequestId },
     AdmissionWakes { relay: usize, life: u64 },
     UpstreamSpeaks { relay: usize, life: u64 },
     UpstreamBeats { relay: usize, life: u64 },
@@ -60,7 +60,7 @@
     pub nodes: usize,
     /// Heads keep the list itself, not only its version.
     pub detailed: bool,
-    pub limits: Limits,
+    pub limits: ReplicaLimits,
     /// How long discovery's word takes to a relay at most, in seconds.
     pub upstream_lag_s: f64,
 }
--- a/crates/distribution/tests/world/relay.rs
+++ b/crates/distribution/tests/world/relay.rs
@@ -2,10 +2,12 @@
 
 use super::{Agenda, Connection, Happening, Plan, UPSTREAM_HEARTBEAT_S, Word, World};
 use bytes::Bytes;
-use flaxgap_distribution::admission::{Admission, AdmissionLimits, Admit, Ticket};
-use flaxgap_distribution::replica::{Limits, Replica, Status};
+use flaxgap_distribution::replica::{Replica, ReplicaLimits, ReplicaStatus};
 use flaxgap_distribution::selection::{LostReason, RelayInfo, Slot};
-use flaxgap_distribution::watcher::{Next, Watcher};
+use flaxgap_distribution::snapshot_admission::{
+    SnapshotAdmission, SnapshotDecision, SnapshotLimits, SnapshotRequestId,
+};
+use flaxgap_distribution::watcher::{WatchAction, Watcher};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -25,7 +27,7 @@
     head: usize,
     slot: Slot,
     watcher: Watcher,
-    ticket: Option<Ticket>,
+    ticket: Option<SnapshotRequestId>,
     /// What is sent arrives in its order.
     arrives: f64,
     wakes_at: f64,
@@ -34,13 +36,13 @@
 pub struct Relay {
     pub info: RelayInfo,
     pub replica: Replica,
-    limits: Limits,
-    admission: Admission,
+    limits: ReplicaLimits,
+    admission: SnapshotAdmission,
     served: BTreeMap<Connection, Served>,
     /// Whose list is being sent or waits.
-    tickets: BTreeMap<Ticket, Connection>,
+    tickets: BTreeMap<SnapshotRequestId, Connection>,
     /// The texts of whole lists that are being sent.
-    sending: BTreeMap<Ticket, Bytes>,
+    sending: BTreeMap<SnapshotRequestId, Bytes>,
     pub death: Option<Death>,
     /// Discovery's word does not reach it.
     pub without_upstream: bool,
@@ -64,7 +66,7 @@
             info,
             replica: Replica::new(plan.limits.clone()),
             limits: plan.limits.clone(),
-            admission: Admission::new(AdmissionLimits::default(), plan.seed),
+            admission: SnapshotAdmission::new(SnapshotLimits::default(), plan.seed),
             served: BTreeMap::new(),
             tickets: BTreeMap::new(),
             sending: BTreeMap::new(),
@@ -138,7 +140,7 @@
     pub fn revive(&mut self, relay: usize) {
         let state = &mut self.relays[relay];
         (state.death, state.replica) = (None, Replica::new(state.limits.clone()));
-        state.admission = Admission::new(AdmissionLimits::default(), relay as u64);
+        state.admission = SnapshotAdmission::new(SnapshotLimits::default(), relay as u64);
         state.start(relay, &mut self.agenda);
     }
 
@@ -163,12 +165,12 @@
         }
         let now = self.agenda.now;
         let state = &mut self.relays[relay];
-        let cursor = state.replica.upstream_cursor();
-        let whole = std::mem::take(&mut state.whole_next) || state.replica.wants_whole(now);
+        let cursor = state.replica.upstream_version();
+        let whole = std::mem::take(&mut state.whole_next) || state.replica.needs_relist(now);
         // A source that counts anew does not know the cursor, and gives the whole list.
         let whole = whole || self.discovery.only_whole || cursor > self.discovery.version();
         if !whole && cursor == self.discovery.version() {
-            state.replica.heard(now);
+            state.replica.renew_lease(now);
         } else {
             let list = if whole { self.discovery.whole() } else { self.discovery.changes(cursor) };
             state.replica.apply(list, now).expect("a list that can be written");
@@ -201,7 +203,8 @@
             return;
         }
         let state = &mut self.relays[relay];
-        let refused = state.death == Some(Death::Refuses) || state.replica.status(now) != Status::Current;
+        let refused =
+            state.death == Some(Death::Refuses) || state.replica.status(now) != ReplicaStatus::Current;
         match state.death {
             Some(Death::Silent) => {}
             _ if refused => {
@@ -242,14 +245,14 @@
             let state = &mut self.relays[relay];
             let Some(served) = state.served.get_mut(&connection) else { return };
             let (head, slot, arrives) = (served.head, served.slot, served.arrives);
-            let next = served.watcher.next(&state.replica, now);
-            let says = !matches!(next, Next::Wait { .. } | Next::End(_));
-            state.sent_uncurrent += usize::from(says && state.replica.status(now) != Status::Current);
+            let next = served.watcher.poll(&state.replica, now);
+            let says = !matches!(next, WatchAction::Wait { .. } | WatchAction::End(_));
+            state.sent_uncurrent += usize::from(says && state.replica.status(now) != ReplicaStatus::Current);
             match next {
-                Next::Send(text) => self.say(relay, connection, head, slot, arrives, Word::Text(text)),
-                Next::Heartbeat => self.say(relay, connection, head, slot, arrives, Word::Heartbeat),
-                Next::Whole => self.ask_admission(relay, connection),
-                Next::Wait { until } => {
+                WatchAction::Send(text) => self.say(relay, connection, head, slot, arrives, Word::Text(text)),
+                WatchAction::Heartbeat => self.say(relay, connection, head, slot, arrives, Word::Heartbeat),
+                WatchAction::RequestSnapshot => self.ask_admission(relay, connection),
+                WatchAction::Wait { until } => {
                     if served.wakes_at <= now || until < served.wakes_at {
                         served.wakes_at = until;
                         let life = state.life;
@@ -257,7 +260,7 @@
                     }
                     return;
                 }
-                Next::End(_) => {
+                WatchAction::End(_) => {
                     self.say(relay, connection, head, slot, arrives, Word::Lost(LostReason::Ended));
                     return self.relay_left(relay, connection);
                 }
@@ -291,16 +294,16 @@
         let admitted = state.admission.request(bytes, now);
         let Some(served) = state.served.get_mut(&connection) else { return };
         match admitted {
-            Admit::Send(ticket) | Admit::Wait(ticket) => {
+            SnapshotDecision::Admitted(ticket) | SnapshotDecision::Queued(ticket) => {
                 served.ticket = Some(ticket);
                 state.tickets.insert(ticket, connection);
-                if matches!(admitted, Admit::Send(_)) {
+                if matches!(admitted, SnapshotDecision::Admitted(_)) {
                     self.send_whole(relay, ticket);
                 }
             }
-            Admit::Retry { after_s } => {
+            SnapshotDecision::Rejected { retry_after_s } => {
                 let (head, slot, arrives) = (served.head, served.slot, served.arrives);
-                let word = Word::Lost(LostReason::Busy { retry_after_s: after_s });
+                let word = Word::Lost(LostReason::Busy { retry_after_s });
                 self.say(relay, connection, head, slot, arrives, word);
                 self.relay_left(relay, connection);
             }
@@ -328,13 +331,13 @@
         self.plan_admission(relay);
     }
 
-    fn send_whole(&mut self, relay: usize, ticket: Ticket) {
+    fn send_whole(&mut self, relay: usize, ticket: SnapshotRequestId) {
         let now = self.agenda.now;
         let state = &mut self.relays[relay];
         let connection = state.tickets[&ticket];
         let Some(served) = state.served.get_mut(&connection) else { return };
         let (head, slot) = (served.head, served.slot);
-        let text = served.watcher.take_whole(&mut state.replica, now).expect("a list that can be written");
+        let text = served.watcher.take_snapshot(&mut state.replica, now).expect("a list that can be written");
         let Some(text) = text else { return self.finish(relay, ticket) };
         state.sent_wholes.push((now, text.len()));
         state.sending.insert(ticket, text.clone());
@@ -346,15 +349,15 @@
         self.serve(relay, connection);
     }
 
-    pub(super) fn whole_sent(&mut self, relay: usize, life: u64, ticket: Ticket) {
+    pub(super) fn whole_sent(&mut self, relay: usize, life: u64, ticket: SnapshotRequestId) {
         if self.relays[relay].life == life {
             self.finish(relay, ticket);
         }
     }
 
-    fn finish(&mut self, relay: usize, ticket: Ticket) {
+    fn finish(&mut self, relay: usize, ticket: SnapshotRequestId) {
         let state = &mut self.relays[relay];
-        state.admission.finished(ticket);
+        state.admission.finish(ticket);
         state.sending.remove(&ticket);
         if let Some(connection) = state.tickets.remove(&ticket)
             && let Some(served) = state.served.get_mut(&connection)
--- a/src/bin/flaxgap-relay/relay.rs
+++ b/src/bin/flaxgap-relay/relay.rs
@@ -9,8 +9,8 @@
 use crate::session::{Handle, Kind, Session};
 use crate::settings::Settings;
 use flaxgap::core::Clock;
-use flaxgap_distribution::admission::{Admission, AdmissionLimits, Ticket};
-use flaxgap_distribution::replica::{Limits, Replica, Status};
+use flaxgap_distribution::replica::{Replica, ReplicaLimits, ReplicaStatus};
+use flaxgap_distribution::snapshot_admission::{SnapshotAdmission, SnapshotLimits, SnapshotRequestId};
 use flaxgap_distribution::watcher::Watcher;
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -65,13 +65,13 @@
     settings: Settings,
     clock: Clock,
     replica: RefCell<Replica>,
-    admission: RefCell<Admission>,
+    admission: RefCell<SnapshotAdmission>,
     /// The admission has something new: a request, or a place that is free.
     admission_changed: Notify,
     /// Calls that are being answered from the copy, watches among them.
     sessions: RefCell<HashMap<u64, (Kind, Rc<Handle>)>>,
     watches: Cell<usize>,
-    tickets: RefCell<BTreeMap<Ticket, Rc<Handle>>>,
+    tickets: RefCell<BTreeMap<SnapshotRequestId, Rc<Handle>>>,
     began: Cell<u64>,
     counters: Rc<Counters>,
     ending: Cell<bool>,
@@ -82,12 +82,12 @@
 impl Relay {
     /// An empty relay.
     pub fn new(settings: Settings) -> Rc<Relay> {
-        let limits = Limits { slow_reader_s: settings.slow_reader_s, ..Limits::default() };
-        let sends = AdmissionLimits { sends: settings.whole_sends, ..AdmissionLimits::default() };
+        let limits = ReplicaLimits { slow_reader_s: settings.slow_reader_s, ..ReplicaLimits::default() };
+        let sends = SnapshotLimits { max_sending: settings.whole_sends, ..SnapshotLimits::default() };
         Rc::new(Relay {
             clock: Clock::start(),
             replica: RefCell::new(Replica::new(limits)),
-            admission: RefCell::new(Admission::new(sends, drawn_seed())),
+            admission: RefCell::new(SnapshotAdmission::new(sends, drawn_seed())),
             admission_changed: Notify::new(),
             sessions: RefCell::default(),
             watches: Cell::new(0),
@@ -179,10 +179,10 @@
         }
         let (replica, now) = (self.replica(), self.now());
         match replica.status(now) {
-            Status::Current => Ok(()),
-            Status::Empty => Err(Unavailable::Empty),
-            Status::Expired => {
-                let heard = replica.lease_ends().map_or(now, |end| end - replica.limits().lease_s);
+            ReplicaStatus::Current => Ok(()),
+            ReplicaStatus::Empty => Err(Unavailable::Empty),
+            ReplicaStatus::Expired => {
+                let heard = replica.lease_expires_at().map_or(now, |end| end - replica.limits().lease_s);
                 Err(Unavailable::Expired(now - heard))
             }
         }
@@ -202,10 +202,10 @@
             ready: self.availability().is_ok(),
             version: replica.version(),
             generation: replica.generation(),
-            nodes: replica.nodes(),
+            nodes: replica.node_count(),
             watchers: self.watches.get(),
             whole_sending: self.admission.borrow().sending(),
-            whole_waiting: self.admission.borrow().waiting(),
+            whole_waiting: self.admission.borrow().queued(),
             log_changes: replica.log().len(),
             log_bytes: replica.log().bytes(),
             whole_sent: counters.whole_sent.get(),
--- a/src/bin/flaxgap-relay/relay/follow.rs
+++ b/src/bin/flaxgap-relay/relay/follow.rs
@@ -5,7 +5,7 @@
 use flaxgap::discovery::client::{CountedTcp, Query, Subscription, Update};
 use flaxgap::discovery::schedule::PollSchedule;
 use flaxgap::discovery::whole::Whole;
-use flaxgap_distribution::replica::Status;
+use flaxgap_distribution::replica::ReplicaStatus;
 use flaxgap_membership::compact::CompactList;
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until};
@@ -25,7 +25,7 @@
         let owed = Whole::wanted(false);
         let mut was_current = false;
         loop {
-            let lease_ends = self.replica().lease_ends().filter(|_| was_current);
+            let lease_ends = self.replica().lease_expires_at().filter(|_| was_current);
             tokio::select! {
                 update = subscription.next(|| self.upstream_query(&owed)) => {
                     self.take_update(update, &owed, &mut subscription);
@@ -33,7 +33,7 @@
                 () = self.reached(lease_ends) => {}
                 () = sleep(PAUSES_RESTART) => subscription.restart_pauses(),
             }
-            let is_current = self.replica().status(self.now()) == Status::Current;
+            let is_current = self.replica().status(self.now()) == ReplicaStatus::Current;
             if std::mem::replace(&mut was_current, is_current) != is_current {
                 self.note_status(is_current);
             }
@@ -42,8 +42,8 @@
 
     fn upstream_query(&self, owed: &Whole) -> Query {
         let replica = self.replica();
-        let whole = owed.take() || replica.wants_whole(self.now());
-        if whole { Query::Whole } else { Query::Since(replica.upstream_cursor()) }
+        let whole = owed.take() || replica.needs_relist(self.now());
+        if whole { Query::Whole } else { Query::Since(replica.upstream_version()) }
     }
 
     fn take_update(
@@ -59,7 +59,7 @@
                 }
                 self.take_list(list);
             }
-            Update::Alive => self.replica.borrow_mut().heard(self.now()),
+            Update::Alive => self.replica.borrow_mut().renew_lease(self.now()),
             Update::Unread(problem) => {
                 log::warn!("relay: passed over: {problem}");
                 self.counters.unread.add(1);
@@ -69,7 +69,7 @@
             Update::Lost | Update::Ended { .. } => {}
             Update::Silent(span) => log::warn!("relay: upstream silent for {span:?}"),
         }
-        if self.replica().wants_whole(self.now()) {
+        if self.replica().needs_relist(self.now()) {
             subscription.forget_known_list();
             subscription.request_soon();
         }
@@ -81,11 +81,15 @@
         let applied = self.replica.borrow_mut().apply(list.into(), self.now());
         match applied {
             Ok(applied) => {
-                if applied.changed > 0 {
+                if applied.changed_entries > 0 {
                     self.counters.changes.add(1);
-                    log::info!("relay: version {}, {} entries changed", applied.version, applied.changed);
+                    log::info!(
+                        "relay: version {}, {} entries changed",
+                        applied.version,
+                        applied.changed_entries
+                    );
                 }
-                if applied.behind || applied.renumbered {
+                if applied.is_behind || applied.renumbered {
                     log::warn!("relay: version {}: upstream is behind, or counts anew", applied.version);
                 }
             }
@@ -97,7 +101,7 @@
     fn note_status(&self, is_current: bool) {
         let replica = self.replica();
         if is_current {
-            log::info!("relay: current, version {}, {} nodes", replica.version(), replica.nodes());
+            log::info!("relay: current, version {}, {} nodes", replica.version(), replica.node_count());
             drop(replica);
             return self.wake_all();
         }
--- a/src/bin/flaxgap-relay/relay/whole_lists.rs
+++ b/src/bin/flaxgap-relay/relay/whole_lists.rs
@@ -3,7 +3,7 @@
 use super::Relay;
 use crate::session::Handle;
 use bytes::Bytes;
-use flaxgap_distribution::admission::{Admit, Ticket};
+use flaxgap_distribution::snapshot_admission::{SnapshotDecision, SnapshotRequestId};
 use flaxgap_distribution::watcher::Watcher;
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 impl Relay {
     /// Asks for the admission of one whole list.
-    pub fn request_whole(&self) -> Admit {
+    pub fn request_whole(&self) -> SnapshotDecision {
         let bytes = match self.replica.borrow_mut().snapshot() {
             Ok(text) => text.len(),
             Err(problem) => {
@@ -28,13 +28,13 @@
     }
 
     /// Whose whole list a ticket stands for.
-    pub fn register_ticket(&self, ticket: Ticket, handle: &Rc<Handle>) {
+    pub fn register_ticket(&self, ticket: SnapshotRequestId, handle: &Rc<Handle>) {
         self.tickets.borrow_mut().insert(ticket, handle.clone());
     }
 
     /// The whole list, for a session that has it admitted; none if it can't be told any more.
     pub fn take_whole(&self, watcher: &mut Watcher) -> Option<Bytes> {
-        let taken = watcher.take_whole(&mut self.replica.borrow_mut(), self.now());
+        let taken = watcher.take_snapshot(&mut self.replica.borrow_mut(), self.now());
         if let Err(problem) = &taken {
             log::error!("relay: {problem}");
         }
@@ -44,9 +44,9 @@
     }
 
     /// A whole list was sent, or its session has ended.
-    pub fn whole_finished(&self, ticket: Ticket) {
+    pub fn whole_finished(&self, ticket: SnapshotRequestId) {
         self.tickets.borrow_mut().remove(&ticket);
-        self.admission.borrow_mut().finished(ticket);
+        self.admission.borrow_mut().finish(ticket);
         self.admission_changed.notify_one();
     }
 
@@ -56,9 +56,9 @@
             let now = self.now();
             let (admitted, overdue) = {
                 let mut admission = self.admission.borrow_mut();
-                (admission.poll(now), admission.overdue(now))
+                (admission.poll(now), admission.timed_out(now))
             };
-            let handle = |ticket: &Ticket| self.tickets.borrow().get(ticket).cloned();
+            let handle = |ticket: &SnapshotRequestId| self.tickets.borrow().get(ticket).cloned();
             admitted.iter().filter_map(handle).for_each(|handle| handle.admit());
             overdue.iter().filter_map(handle).for_each(|handle| handle.cut_off());
             self.counters.slow_readers_ended.add(overdue.len() as u64);
--- a/src/bin/flaxgap-relay/session.rs
+++ b/src/bin/flaxgap-relay/session.rs
@@ -3,9 +3,9 @@
 
 use crate::relay::Relay;
 use bytes::Bytes;
-use flaxgap_distribution::admission::{Admit, Ticket};
 use flaxgap_distribution::replica::Resume;
-use flaxgap_distribution::watcher::{Blocked, EndReason, Next, Watcher};
+use flaxgap_distribution::snapshot_admission::{SnapshotDecision, SnapshotRequestId};
+use flaxgap_distribution::watcher::{EndReason, StallAction, WatchAction, Watcher};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::pin::Pin;
@@ -67,9 +67,9 @@
     /// None is needed.
     NotNeeded,
     /// It waits for its admission, or has it and is sent next.
-    Owed(Ticket),
+    Owed(SnapshotRequestId),
     /// The connection has it; it was taken once the connection asks for more.
-    Handed(Ticket),
+    Handed(SnapshotRequestId),
     /// It was sent.
     Sent,
 }
@@ -97,16 +97,16 @@
 
     /// Whether a watcher that knows this version needs no whole list at once.
     pub fn resumes(&self, since: u64) -> bool {
-        self.relay.replica().resume(since, self.relay.now()) != Resume::Whole
+        self.relay.replica().resume(since, self.relay.now()) != Resume::Snapshot
     }
 
     /// Has the whole list admitted, now or later. Where too many wait for theirs: after how many seconds the caller is to
     /// come again.
     pub fn begin_whole(&self) -> Option<f64> {
         let (ticket, admitted) = match self.relay.request_whole() {
-            Admit::Send(ticket) => (ticket, true),
-            Admit::Wait(ticket) => (ticket, false),
-            Admit::Retry { after_s } => return Some(after_s),
+            SnapshotDecision::Admitted(ticket) => (ticket, true),
+            SnapshotDecision::Queued(ticket) => (ticket, false),
+            SnapshotDecision::Rejected { retry_after_s } => return Some(retry_after_s),
         };
         self.handle.admitted.set(admitted);
         self.whole.set(WholeList::Owed(ticket));
@@ -134,16 +134,16 @@
 
     fn poll_watch(&self, context: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         loop {
-            let next = self.watcher.borrow_mut().next(&self.relay.replica(), self.relay.now());
+            let next = self.watcher.borrow_mut().poll(&self.relay.replica(), self.relay.now());
             match next {
-                Next::Send(text) => return Poll::Ready(Some(Ok(text))),
-                Next::Heartbeat => {
+                WatchAction::Send(text) => return Poll::Ready(Some(Ok(text))),
+                WatchAction::Heartbeat => {
                     self.relay.counters().heartbeats.add(1);
                     return Poll::Ready(Some(Ok(HEARTBEAT)));
                 }
                 // Asked for at the call already, unless the watcher was waited for to become current.
-                Next::Whole if matches!(self.whole.get(), WholeList::Owed(_)) => {}
-                Next::Whole => {
+                WatchAction::RequestSnapshot if matches!(self.whole.get(), WholeList::Owed(_)) => {}
+                WatchAction::RequestSnapshot => {
                     if self.begin_whole().is_some() {
                         return Poll::Ready(None);
                     }
@@ -151,8 +151,8 @@
                         return Poll::Ready(self.take_whole(ticket));
                     }
                 }
-                Next::Wait { until } => ready!(self.poll_timer(until, context)),
-                Next::End(reason) => {
+                WatchAction::Wait { until } => ready!(self.poll_timer(until, context)),
+                WatchAction::End(reason) => {
                     self.note_end(reason);
                     return Poll::Ready(None);
                 }
@@ -163,10 +163,10 @@
     /// Whether the connection may go on although its reader takes nothing.
     pub fn poll_blocked(&self, context: &mut Context<'_>) -> Poll<io::Error> {
         loop {
-            let blocked = self.watcher.borrow_mut().blocked(&self.relay.replica(), self.relay.now());
+            let blocked = self.watcher.borrow_mut().write_stalled(&self.relay.replica(), self.relay.now());
             match blocked {
-                Blocked::Wait { until } => ready!(self.poll_timer(until, context)),
-                Blocked::End(reason) => {
+                StallAction::Wait { until } => ready!(self.poll_timer(until, context)),
+                StallAction::End(reason) => {
                     self.note_end(reason);
                     return Poll::Ready(io::Error::new(io::ErrorKind::TimedOut, format!("{reason:?}")));
                 }
@@ -176,7 +176,7 @@
 
     /// Its reader has taken something.
     pub fn progressed(&self) {
-        self.watcher.borrow_mut().progressed();
+        self.watcher.borrow_mut().write_progressed();
     }
 
     fn poll_timer(&self, until: f64, context: &mut Context<'_>) -> Poll<()> {
@@ -186,7 +186,7 @@
     }
 
     /// The whole list, once admitted.
-    fn take_whole(&self, ticket: Ticket) -> Option<io::Result<Bytes>> {
+    fn take_whole(&self, ticket: SnapshotRequestId) -> Option<io::Result<Bytes>> {
         self.handle.admitted.set(false);
         match self.relay.take_whole(&mut self.watcher.borrow_mut()) {
             Some(text) => {
@@ -206,7 +206,7 @@
         }
     }
 
-    fn finish(&self, ticket: Ticket) {
+    fn finish(&self, ticket: SnapshotRequestId) {
         self.whole.set(WholeList::Sent);
         self.relay.whole_finished(ticket);
     }
--- a/src/bin/flaxgap-relay/settings.rs
+++ b/src/bin/flaxgap-relay/settings.rs
@@ -1,7 +1,7 @@
 //! The relay's configuration: a TOML file, checked in full before anything starts.
 
-use flaxgap_distribution::admission::AdmissionLimits;
-use flaxgap_distribution::replica::Limits;
+use flaxgap_distribution::replica::ReplicaLimits;
+use flaxgap_distribution::snapshot_admission::SnapshotLimits;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -133,8 +133,8 @@
             return Err(source.error(&file.upstream, "upstream", "is the relay itself".into()));
         }
         let limits = &file.limits;
-        let sends = AdmissionLimits::default().sends;
-        let slow_reader_s = Limits::default().slow_reader_s;
+        let sends = SnapshotLimits::default().max_sending;
+        let slow_reader_s = ReplicaLimits::default().slow_reader_s;
         Ok(Settings {
             name: name.clone(),
             listen: file.listen,
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -8,7 +8,7 @@
 use crate::metrics::counters::Counters;
 use crate::node::{NodeAddress, NodeTransport};
 use crate::scheduler::{Endpoint, Event, NodeId, NodeState, ShardId, UpdateKind, ZoneId};
-use flaxgap_distribution::intake::Intake;
+use flaxgap_distribution::update_filter::UpdateFilter;
 use flaxgap_membership::compact::CompactList;
 use flaxgap_membership::wire::State;
 use flaxgap_membership::{Membership, Node, NodeChange, Source};
@@ -265,7 +265,7 @@
         subscription: &mut Subscription<'_, D>,
         progress: &mut Progress,
     ) -> Update {
-        let anew = progress.intake.wants_whole(self.dispatcher.clock().now());
+        let anew = progress.intake.needs_relist(self.dispatcher.clock().now());
         let since = progress.since;
         let query = || if anew || progress.whole.take() { Query::Whole } else { Query::Since(since) };
         let update = subscription.next(query).await;
@@ -307,7 +307,7 @@
         if progress.intake.source().is_behind() {
             subscription.forget_known_list();
         }
-        if progress.intake.wants_whole(self.dispatcher.clock().now()) {
+        if progress.intake.needs_relist(self.dispatcher.clock().now()) {
             subscription.request_soon();
         }
     }
@@ -370,7 +370,7 @@
     address: SocketAddr,
     /// The version after which it is asked for changes.
     since: u64,
-    intake: Intake,
+    intake: UpdateFilter,
     whole: Whole,
     behind: bool,
 }
@@ -378,18 +378,18 @@
 impl Progress {
     /// Of a source that is to be asked for what comes after a version.
     pub(super) fn since(address: SocketAddr, version: u64) -> Progress {
-        let (intake, whole) = (Intake::new(version), Whole::wanted(false));
+        let (intake, whole) = (UpdateFilter::new(version), Whole::wanted(false));
         Progress { address, since: version, intake, whole, behind: false }
     }
 
     /// The same source is asked once more, for what comes after a version.
     pub(super) fn ask_again(&mut self, version: u64) {
         self.since = version;
-        self.intake.asks(version);
+        self.intake.restart(version);
     }
 
     /// How its lists fit among those of another source that is followed beside it.
-    pub(super) fn intake(&mut self) -> &mut Intake {
+    pub(super) fn intake(&mut self) -> &mut UpdateFilter {
         &mut self.intake
     }
 }
--- a/src/discovery/relays.rs
+++ b/src/discovery/relays.rs
@@ -8,8 +8,8 @@
 use crate::discovery::directory::{EndpointDirectory, Progress};
 use crate::discovery::schedule::PollSchedule;
 use crate::metrics::counters::Counters;
-use flaxgap_distribution::intake::Verdict;
 use flaxgap_distribution::selection::{Directive, LostReason, RelayListError, Selection, Slot};
+use flaxgap_distribution::update_filter::Verdict;
 use settings::Distribution;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -177,10 +177,10 @@
                 self.report(Report::Opened).await;
             }
             let lost = lost_reason(&update);
-            match self.consider(&update, &mut progress) {
-                Verdict::Take => self.directory.take_update(update, &mut progress, &mut subscription),
-                Verdict::Known => {}
-                Verdict::AskAgain => {
+            match self.evaluate(&update, &mut progress) {
+                Verdict::Apply => self.directory.take_update(update, &mut progress, &mut subscription),
+                Verdict::Duplicate => {}
+                Verdict::Rewatch => {
                     progress.ask_again(self.directory.version());
                     subscription = self.subscription();
                 }
@@ -196,10 +196,10 @@
     }
 
     /// Lists have to fit among those of the other watch; all else is taken as it comes.
-    fn consider(&self, update: &Update, progress: &mut Progress) -> Verdict {
+    fn evaluate(&self, update: &Update, progress: &mut Progress) -> Verdict {
         match update {
-            Update::List(list, _) => progress.intake().consider(list.rev, list.all, self.directory.version()),
-            _ => Verdict::Take,
+            Update::List(list, _) => progress.intake().evaluate(list.rev, list.all, self.directory.version()),
+            _ => Verdict::Apply,
         }
     }
 
