--- a/src/core/content.rs
+++ b/src/core/content.rs
@@ -1,4 +1,4 @@
-//! Data that need not be whole: what is at hand, and what is still to come, piece by piece.
+//! Request and response bodies that need not be in memory as a whole: a buffered beginning and a stream of the rest.
 
 use bytes::Bytes;
 use futures_core::Stream;
@@ -13,149 +13,178 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Data that ended before they were whole.
+/// A body that ended before its last byte.
 #[derive(Clone, Debug, Error)]
-#[error("broken off: {0}")]
-pub struct Broken(pub String);
-
-/// Data as they come. Whoever asks for the next piece holds the sender back until then.
-pub type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>>>>;
-
-/// Data of which the first part is at hand.
-pub struct Content {
-    /// What is at hand.
-    pub first: Bytes,
-    /// The rest; none where the first part is all.
-    pub rest: Option<Pieces>,
-    /// How long all is, where that is known.
+#[error("broken off: {reason}")]
+pub struct IncompleteBody {
+    /// What ended it.
+    pub reason: String,
+}
+
+impl IncompleteBody {
+    /// An error with its reason in words.
+    pub fn new(reason: impl Into<String>) -> IncompleteBody {
+        IncompleteBody { reason: reason.into() }
+    }
+}
+
+/// The bytes of a body as they arrive. Its sender is held back until the next item is polled.
+pub type ByteStream = Pin<Box<dyn Stream<Item = Result<Bytes, IncompleteBody>>>>;
+
+/// A body whose beginning is in memory and whose rest, if any, is streamed.
+pub struct StreamedBody {
+    /// The beginning, in memory.
+    pub buffered: Bytes,
+    /// What follows the beginning; `None` if that is the complete body.
+    pub rest: Option<ByteStream>,
+    /// Length of the complete body in bytes, if known.
     pub length: Option<u64>,
 }
 
-impl fmt::Debug for Content {
+impl fmt::Debug for StreamedBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Content").field("first", &self.first.len()).field("length", &self.length).finish()
+        f.debug_struct("StreamedBody")
+            .field("buffered", &self.buffered.len())
+            .field("length", &self.length)
+            .finish()
     }
 }
 
-impl From<Bytes> for Content {
-    fn from(first: Bytes) -> Content {
-        let length = Some(first.len() as u64);
-        Content { first, rest: None, length }
+impl From<Bytes> for StreamedBody {
+    fn from(buffered: Bytes) -> StreamedBody {
+        let length = Some(buffered.len() as u64);
+        StreamedBody { buffered, rest: None, length }
     }
 }
 
-impl Content {
-    /// All of it, if it is no longer than so many bytes and comes to its end.
-    pub async fn whole(mut self, most: usize) -> Option<Bytes> {
-        let Some(rest) = &mut self.rest else { return Some(self.first) };
-        let mut all = Vec::from(self.first);
-        while let Some(piece) = poll_fn(|cx| rest.as_mut().poll_next(cx)).await {
-            all.extend_from_slice(&piece.ok()?);
-            if all.len() > most {
+impl StreamedBody {
+    /// Reads the complete body; `None` if it breaks off or its rest takes it past `max_bytes`.
+    pub async fn collect(mut self, max_bytes: usize) -> Option<Bytes> {
+        let Some(rest) = &mut self.rest else { return Some(self.buffered) };
+        let mut collected = Vec::from(self.buffered);
+        while let Some(chunk) = poll_fn(|cx| rest.as_mut().poll_next(cx)).await {
+            collected.extend_from_slice(&chunk.ok()?);
+            if collected.len() > max_bytes {
                 return None;
             }
         }
-        Some(all.into())
+        Some(collected.into())
     }
 }
 
-/// The data of a write that are not held: they go to a node as they come, and once.
-pub struct Upload {
-    pieces: RefCell<Pieces>,
-    spent: Cell<bool>,
-    /// How long all of it is, where that is known.
+/// A write's body that is too long to buffer: it is forwarded to a node as it arrives, and by one attempt only.
+pub struct UploadStream {
+    stream: RefCell<ByteStream>,
+    /// An attempt has taken the body.
+    taken: Cell<bool>,
+    /// Length of the complete body in bytes, if known.
     pub length: Option<u64>,
-    /// How long the client waits once its last byte has come.
-    wait: Duration,
-    started: Notify,
-    moved: Cell<Instant>,
-    ended: Cell<Option<Instant>>,
+    /// How long the client waits for its answer after the body's last byte.
+    response_timeout: Duration,
+    /// Notified when an attempt takes the body.
+    taken_notify: Notify,
+    /// When the body was taken or last yielded bytes.
+    last_progress: Cell<Instant>,
+    /// When the last byte arrived.
+    ended_at: Cell<Option<Instant>>,
 }
 
-impl fmt::Debug for Upload {
+impl fmt::Debug for UploadStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Upload").field("length", &self.length).finish()
+        f.debug_struct("UploadStream").field("length", &self.length).finish()
     }
 }
 
-impl Upload {
-    /// A node that takes nothing for so long has stalled.
-    const STALL: Duration = Duration::from_secs(5);
+impl UploadStream {
+    /// Longest time in which a node may accept nothing of the body before its attempt ends as stalled.
+    const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-    /// Data that were not asked for yet.
-    pub fn new(pieces: Pieces, length: Option<u64>, wait: Duration) -> Rc<Upload> {
-        let (pieces, spent, ended) = (RefCell::new(pieces), Cell::new(false), Cell::new(None));
-        let (started, moved) = (Notify::new(), Cell::new(Instant::now()));
-        Rc::new(Upload { pieces, spent, length, wait, started, moved, ended })
+    /// An upload that no attempt has taken yet.
+    pub fn new(stream: ByteStream, length: Option<u64>, response_timeout: Duration) -> Rc<UploadStream> {
+        Rc::new(UploadStream {
+            stream: RefCell::new(stream),
+            taken: Cell::new(false),
+            length,
+            response_timeout,
+            taken_notify: Notify::new(),
+            last_progress: Cell::new(Instant::now()),
+            ended_at: Cell::new(None),
+        })
     }
 
-    /// Takes the data to send them; from now on no other attempt can.
-    pub fn take(self: &Rc<Self>) -> Option<Taken> {
-        self.moved.set(Instant::now());
-        self.started.notify_one();
-        (!self.spent.replace(true)).then(|| Taken(self.clone()))
+    /// Takes the body to send it; `None` if an earlier attempt has taken it, since it can't be sent again.
+    pub fn take(self: &Rc<Self>) -> Option<UploadReader> {
+        self.last_progress.set(Instant::now());
+        self.taken_notify.notify_one();
+        let taken_before = self.taken.replace(true);
+        if taken_before { None } else { Some(UploadReader { upload: self.clone() }) }
     }
 
-    /// Whether they were taken.
-    pub fn spent(&self) -> bool {
-        self.spent.get()
+    /// Whether an attempt has taken the body.
+    pub fn is_taken(&self) -> bool {
+        self.taken.get()
     }
 
-    /// Reads what is left of the data to its end, so that the client gets to read its answer.
+    /// Waits until an attempt has taken the body.
+    pub async fn wait_taken(&self) {
+        self.taken_notify.notified().await;
+    }
+
+    /// Reads and discards what is left of the body, so that a client that is still sending can read its answer.
     pub async fn drain(self: Rc<Self>) {
         while let Some(Ok(_)) = poll_fn(|cx| self.poll(cx)).await {}
     }
 
-    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
-        if self.ended.get().is_some() {
+    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
+        if self.ended_at.get().is_some() {
             return Poll::Ready(None);
         }
-        let piece = ready!(self.pieces.borrow_mut().as_mut().poll_next(cx));
-        self.moved.set(Instant::now());
-        if piece.is_none() {
-            self.ended.set(Some(Instant::now()));
+        let chunk = ready!(self.stream.borrow_mut().as_mut().poll_next(cx));
+        self.last_progress.set(Instant::now());
+        if chunk.is_none() {
+            self.ended_at.set(Some(Instant::now()));
         }
-        Poll::Ready(piece)
-    }
-
-    /// Waits until they are.
-    pub async fn started(&self) {
-        self.started.notified().await;
+        Poll::Ready(chunk)
     }
 
-    /// When the last byte came.
-    pub fn ended(&self) -> Option<Instant> {
-        self.ended.get()
+    /// When the last byte arrived; `None` while more is to come.
+    pub fn ended_at(&self) -> Option<Instant> {
+        self.ended_at.get()
     }
 
-    /// By when its attempt must end: while the data come, all that counts is that they do.
-    pub fn until(&self) -> Instant {
-        self.ended.get().map_or(self.moved.get() + Upload::STALL, |ended| ended + self.wait)
+    /// By when the attempt that sends the body must end. While bytes still arrive, it only must not stall.
+    pub fn attempt_deadline(&self) -> Instant {
+        match self.ended_at.get() {
+            Some(ended_at) => ended_at + self.response_timeout,
+            None => self.last_progress.get() + UploadStream::STALL_TIMEOUT,
+        }
     }
 }
 
-/// The data of an upload, for the one attempt that sends them.
-pub struct Taken(Rc<Upload>);
+/// Reads an upload's bytes, for the one attempt that sends them.
+pub struct UploadReader {
+    upload: Rc<UploadStream>,
+}
 
-impl Stream for Taken {
-    type Item = Result<Bytes, Broken>;
+impl Stream for UploadReader {
+    type Item = Result<Bytes, IncompleteBody>;
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        self.0.poll(cx)
+        self.upload.poll(cx)
     }
 }
 
-/// The data of a write.
+/// The body of a request to a node.
 #[derive(Clone, Debug)]
 pub enum Payload {
     /// In memory, so that the request can be sent again.
     Buffered(Bytes),
-    /// Forwarded as they arrive.
-    Streamed(Rc<Upload>),
+    /// Forwarded as it arrives, once.
+    Streamed(Rc<UploadStream>),
 }
 
 impl Payload {
-    /// How long the data are, as far as that is known.
+    /// Length in bytes; 0 if it is unknown.
     pub fn length(&self) -> u64 {
         match self {
             Payload::Buffered(bytes) => bytes.len() as u64,
@@ -163,8 +192,8 @@
         }
     }
 
-    /// The upload, where the data are not held.
-    pub fn upload(&self) -> Option<&Rc<Upload>> {
+    /// The upload, if the body is streamed.
+    pub fn upload(&self) -> Option<&Rc<UploadStream>> {
         match self {
             Payload::Buffered(_) => None,
             Payload::Streamed(upload) => Some(upload),
@@ -172,26 +201,26 @@
     }
 }
 
-/// What was gathered before, then the rest.
-pub struct Chain {
-    first: Option<Bytes>,
-    rest: Pieces,
+/// A byte stream with bytes before it that were read from it earlier.
+pub struct PrefixedStream {
+    prefix: Option<Bytes>,
+    rest: ByteStream,
 }
 
-impl Chain {
-    /// The one before the other.
-    pub fn link(first: Bytes, rest: Pieces) -> Pieces {
-        let first = Some(first).filter(|first| !first.is_empty());
-        Box::pin(Chain { first, rest })
+impl PrefixedStream {
+    /// A stream of `prefix`, if there is any, and then `rest`.
+    pub fn boxed(prefix: Bytes, rest: ByteStream) -> ByteStream {
+        let prefix = Some(prefix).filter(|prefix| !prefix.is_empty());
+        Box::pin(PrefixedStream { prefix, rest })
     }
 }
 
-impl Stream for Chain {
-    type Item = Result<Bytes, Broken>;
+impl Stream for PrefixedStream {
+    type Item = Result<Bytes, IncompleteBody>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        match self.first.take() {
-            Some(first) => Poll::Ready(Some(Ok(first))),
+        match self.prefix.take() {
+            Some(prefix) => Poll::Ready(Some(Ok(prefix))),
             None => self.rest.as_mut().poll_next(cx),
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -7,7 +7,7 @@
 pub mod content;
 
 use crate::Scheduler;
-use crate::core::content::{Content, Payload, Upload};
+use crate::core::content::{Payload, StreamedBody, UploadStream};
 use crate::metrics::counters::{Counters, FinalOutcome, InFlightRequest, SheddingGauges};
 use crate::scheduler::{
     Action, AttemptOutcome, Class, ClassId, Event, ExtentId, Idempotency, IoRequest, LoadReport, NodeId,
@@ -150,7 +150,7 @@
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// The body of a served request.
-    pub body: Content,
+    pub body: StreamedBody,
     /// What the volume was served over all heads, in multiples of its plan's base rate.
     pub usage: Option<f64>,
     /// The node's load report.
@@ -257,7 +257,7 @@
 #[derive(Debug)]
 pub enum Answer {
     /// Served: the node's body. Whoever passes it on settles the request.
-    Served(Content, InFlightRequest),
+    Served(StreamedBody, InFlightRequest),
     /// Turned away; trying again does no harm.
     Rejected {
         /// Seconds after which a retry makes sense; 0 where nothing is known.
@@ -561,7 +561,7 @@
             observer.taken(&call);
         }
         let upload = call.node_request.payload.upload();
-        let passing = || upload.is_some_and(|upload| upload.spent());
+        let passing = || upload.is_some_and(|upload| upload.is_taken());
         let mut finished = std::pin::pin!(self.finished());
         let (mut overdue, mut cut) = (call.deadline + OVERDUE, false);
         // From the first attempt that may have run: whether there was one, and when a class with a window is past it.
@@ -687,7 +687,13 @@
     }
 
     /// Reports an attempt's end, unless the module was told of it before.
-    fn report(&self, ticket: &Ticket, attempt: usize, reply: &AttemptResult, upload: Option<&Rc<Upload>>) {
+    fn report(
+        &self,
+        ticket: &Ticket,
+        attempt: usize,
+        reply: &AttemptResult,
+        upload: Option<&Rc<UploadStream>>,
+    ) {
         let out = {
             let mut state = self.state.borrow_mut();
             let mailbox = state.mailboxes.get_mut(&ticket.id);
@@ -695,9 +701,9 @@
         };
         let Some((_, sent_at)) = out else { return };
         self.counters.outcome(reply.outcome);
-        let last = upload.is_some_and(|upload| upload.spent());
+        let last = upload.is_some_and(|upload| upload.is_taken());
         // What the data took to come is not the node's time.
-        let from = match upload.and_then(|upload| upload.ended()) {
+        let from = match upload.and_then(|upload| upload.ended_at()) {
             Some(ended) => self.clock.at(ended).max(sent_at),
             None if last => self.clock.now(),
             None => sent_at,
@@ -725,9 +731,9 @@
 }
 
 /// Waits until data that are not held begin to pass on.
-async fn started(upload: Option<&Rc<Upload>>) {
+async fn started(upload: Option<&Rc<UploadStream>>) {
     match upload {
-        Some(upload) => upload.started().await,
+        Some(upload) => upload.wait_taken().await,
         None => std::future::pending().await,
     }
 }
--- a/src/discovery/schedule.rs
+++ b/src/discovery/schedule.rs
@@ -3,12 +3,11 @@
 //! timers: durations come out and the caller waits. The clock is read in one place, to bound the time from one call
 //! to the next.
 
+use crate::fleet::SMALL_FLEET_MAX_HEADS;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A server is taken to bear the calls of so many heads at once.
-pub const SMALL_FLEET: u32 = 8;
 /// First and longest delay between two attempts in a small fleet.
 const FIRST_DELAY: Duration = Duration::from_millis(50);
 const MAX_DELAY: Duration = Duration::from_secs(1);
@@ -67,7 +66,7 @@
     /// the head's own, to which changes are pushed, bears every call of that head, and what it holds counts as told:
     /// a delay before a call to it would mean to use a list that is known to be old.
     pub fn new(hosts: u32, seed: u64, shared: bool, grace: Duration) -> PollSchedule {
-        let fleet = if shared { (f64::from(hosts) / f64::from(SMALL_FLEET)).max(1.0) } else { 1.0 };
+        let fleet = if shared { (f64::from(hosts) / f64::from(SMALL_FLEET_MAX_HEADS)).max(1.0) } else { 1.0 };
         let every = (grace / POLLS_IN_GRACE).clamp(LEAST_EVERY, MOST_EVERY);
         PollSchedule { fleet, shared, every, random: Cell::new(seed | 1) }
     }
--- a/src/frontend/block/session/command.rs
+++ b/src/frontend/block/session/command.rs
@@ -163,7 +163,7 @@
             CommandResult::Good { data: Bytes::new(), moved: length }
         }
         Answer::Served(content, flight) => {
-            let whole = timeout_at(command.deadline, content.whole(length)).await.ok().flatten();
+            let whole = timeout_at(command.deadline, content.collect(length)).await.ok().flatten();
             match whole.filter(|data| data.len() == length) {
                 Some(data) => {
                     flight.settle(FinalOutcome::Served);
--- a/src/frontend/request.rs
+++ b/src/frontend/request.rs
@@ -2,7 +2,7 @@
 //! words. Nothing here knows how a version of HTTP frames them.
 
 use crate::config::WireSettings;
-use crate::core::content::{Broken, Chain, Content, Payload, Pieces, Upload};
+use crate::core::content::{ByteStream, IncompleteBody, Payload, PrefixedStream, StreamedBody, UploadStream};
 use crate::core::{Answer, Call, Client, Dispatcher, NodeRequest, Operation, Transport, seconds};
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::metrics::counters::{Counters, FinalOutcome, InFlightRequest};
@@ -231,7 +231,7 @@
 }
 
 impl<B: Body<Data = Bytes> + Unpin> Stream for Paced<B> {
-    type Item = Result<Bytes, Broken>;
+    type Item = Result<Bytes, IncompleteBody>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         loop {
@@ -240,7 +240,7 @@
                 Ok(Ok(data)) => return Poll::Ready(Some(Ok(data))),
                 // Trailers say nothing that goes on.
                 Ok(Err(_)) => {}
-                Err(problem) => return Poll::Ready(Some(Err(Broken(problem.to_string())))),
+                Err(problem) => return Poll::Ready(Some(Err(IncompleteBody::new(problem.to_string())))),
             }
         }
     }
@@ -249,15 +249,15 @@
 /// An answer's body: held, or passed on as it comes. The request is settled at its end.
 pub struct Outgoing {
     first: Option<Bytes>,
-    rest: Option<Pieces>,
+    rest: Option<ByteStream>,
     left: Option<u64>,
     flight: Option<InFlightRequest>,
     ended: Option<Box<dyn FnOnce()>>,
 }
 
 impl Outgoing {
-    fn new(content: Content, flight: Option<InFlightRequest>) -> Outgoing {
-        let Content { first, rest, length } = content;
+    fn new(content: StreamedBody, flight: Option<InFlightRequest>) -> Outgoing {
+        let StreamedBody { buffered: first, rest, length } = content;
         let body = Outgoing {
             first: Some(first).filter(|f| !f.is_empty()),
             rest,
@@ -289,12 +289,12 @@
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         let piece = match (self.first.take(), &mut self.rest) {
             (Some(first), _) => Some(Ok(first)),
             (None, Some(rest)) => ready!(rest.as_mut().poll_next(cx)),
@@ -371,7 +371,7 @@
                 let upload = call.node_request.payload.upload().cloned();
                 let answer = self.dispatcher.serve(&*self.transport, call, flight).await;
                 // An answer may come before the data's end; a client that is still sending could not read it.
-                if let Some(upload) = upload.filter(|upload| upload.ended().is_none()) {
+                if let Some(upload) = upload.filter(|upload| upload.ended_at().is_none()) {
                     tokio::task::spawn_local(upload.drain());
                 }
                 word(answer)
@@ -420,9 +420,11 @@
         let deadline = Instant::now() + wait;
         let payload = match gathered.whole {
             true => Payload::Buffered(gathered.bytes),
-            false => {
-                Payload::Streamed(Upload::new(Chain::link(gathered.bytes, Box::pin(body)), length, wait))
-            }
+            false => Payload::Streamed(UploadStream::new(
+                PrefixedStream::boxed(gathered.bytes, Box::pin(body)),
+                length,
+                wait,
+            )),
         };
         Ok(Call {
             class: fields.class,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -84,6 +84,7 @@
 pub mod daemon;
 pub mod discovery;
 pub mod exclusions;
+pub mod fleet;
 pub mod frontend;
 pub mod handover;
 pub mod lifecycle;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -3,11 +3,11 @@
 //! A connection is no task of its own: the attempt that uses it drives it, so dropping the attempt
 //! closes the socket there and then. Nothing here sends a request twice.
 
-use crate::core::content::{Broken, Content, Payload, Taken};
+use crate::core::content::{IncompleteBody, Payload, StreamedBody, UploadReader};
 use crate::core::{
     AttemptResult, NodeRequest, Operation, PermitExpired, SendPermit, Transport, WriteProgress, seconds,
 };
-use crate::discovery::schedule;
+use crate::fleet::SMALL_FLEET_MAX_HEADS;
 use crate::metrics::counters::Counters;
 use crate::resources::descriptors::{ConnectionSlot, DescriptorBudget, Side};
 use crate::resources::memory::{self, BodyMemory, Gathered};
@@ -217,19 +217,19 @@
 /// The request's body: tells when its last bytes have been handed to the connection.
 struct Outgoing {
     bytes: Option<Bytes>,
-    passing: Option<Taken>,
+    passing: Option<UploadReader>,
     length: Option<u64>,
     progress: Rc<Progress>,
 }
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         if let Some(pieces) = &mut self.passing {
             let piece = ready!(Pin::new(pieces).poll_next(cx));
             if piece.is_none() {
@@ -401,7 +401,7 @@
 }
 
 impl Stream for Passing {
-    type Item = Result<Bytes, Broken>;
+    type Item = Result<Bytes, IncompleteBody>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let this = &mut *self;
@@ -425,7 +425,7 @@
                     Some(Ok(Err(_))) => {}
                     Some(Err(problem)) => {
                         this.link = None;
-                        return Poll::Ready(Some(Err(Broken(problem.to_string()))));
+                        return Poll::Ready(Some(Err(IncompleteBody::new(problem.to_string()))));
                     }
                     None => {
                         this.link
@@ -439,7 +439,7 @@
         }
         ready!(this.over.as_mut().poll(cx));
         this.link = None;
-        Poll::Ready(Some(Err(Broken("the node stopped".into()))))
+        Poll::Ready(Some(Err(IncompleteBody::new("the node stopped"))))
     }
 }
 
@@ -463,7 +463,7 @@
         conn_idle: f64,
         hosts: u32,
     ) -> Rc<NodeTransport> {
-        let most = if hosts > schedule::SMALL_FLEET { f64::INFINITY } else { IDLE_MOST };
+        let most = if hosts > SMALL_FLEET_MAX_HEADS { f64::INFINITY } else { IDLE_MOST };
         let (connect_timeout, idle_for) =
             (seconds(connect_timeout), seconds((conn_idle * IDLE_PART).min(most)));
         let pools = Rc::default();
@@ -645,7 +645,8 @@
             let gathered = self.memory.gather(&mut body, held, wait).await?;
             Ok::<_, Box<dyn std::error::Error + Send + Sync>>((head, body, gathered))
         };
-        let ended = link.drive(work, || upload.as_ref().map_or(until, |upload| upload.until())).await;
+        let ended =
+            link.drive(work, || upload.as_ref().map_or(until, |upload| upload.attempt_deadline())).await;
         let progress = &link.progress;
         if let Some(why) = progress.withheld.get() {
             return Err(why);
@@ -677,11 +678,11 @@
                     _ => AttemptOutcome::Error,
                 };
                 let (used, report) = notes(&head.headers);
-                let mut body = Content::from(bytes);
+                let mut body = StreamedBody::from(bytes);
                 if whole {
                     NodeTransport::keep(&self.pools, node, link);
                 } else if outcome == AttemptOutcome::Ok {
-                    body.length = rest.size_hint().exact().map(|rest| rest + body.first.len() as u64);
+                    body.length = rest.size_hint().exact().map(|rest| rest + body.buffered.len() as u64);
                     let (pools, over) = (self.pools.clone(), Box::pin(sleep_until(Instant::now() + STALLED)));
                     body.rest = Some(Box::pin(Passing { link: Some(link), body: rest, node, pools, over }));
                 }
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -205,7 +205,7 @@
             let (nodes, counters) = nodes_at(address);
             let far = Instant::now() + Duration::from_secs(60);
             let first = nodes.send(NodeId(1), &read_of("1"), &Rc::new(SendPermit::until(far))).await;
-            assert_eq!((first.outcome, &first.body.first[..]), (AttemptOutcome::Ok, &b"right"[..]));
+            assert_eq!((first.outcome, &first.body.buffered[..]), (AttemptOutcome::Ok, &b"right"[..]));
             let mut stream = streams.recv().expect("the first connection");
             tokio::time::sleep(REST * 2).await;
             let mut acts = 0;
@@ -221,7 +221,7 @@
             let permit = Rc::new(SendPermit { client: Some(Rc::new(act)), ..SendPermit::until(far) });
             let reply = nodes.send(NodeId(1), &read_of("2"), &permit).await;
             assert_eq!(
-                (reply.outcome, &reply.body.first[..]),
+                (reply.outcome, &reply.body.buffered[..]),
                 (AttemptOutcome::Ok, &b"right"[..]),
                 "{unasked:?}"
             );
@@ -258,7 +258,7 @@
         for (id, rests) in [("1", 0), ("2", 60), ("3", 60)] {
             let reply = nodes.send(NodeId(1), &read_of(id), &permit()).await;
             assert_eq!(
-                (reply.outcome, &reply.body.first[..]),
+                (reply.outcome, &reply.body.buffered[..]),
                 (AttemptOutcome::Ok, &b"right"[..]),
                 "request {id}"
             );
