--- a/examples/fronts.rs
+++ b/examples/fronts.rs
@@ -86,7 +86,7 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
-    let signals = local.block_on(&runtime, async { Signals::take() })?;
+    let signals = local.block_on(&runtime, async { Signals::install() })?;
     let path = std::env::var("LB_CONFIG")?;
     let ops = OperatorsFile::load(&std::env::var("FLAXGAP_OPS")?)?;
     let daemon = Daemon::new(path.clone(), Config::load(&path)?, None, ops, None);
--- /dev/null
+++ b/src/daemon/build.rs
@@ -0,0 +1,249 @@
+//! Builds the parts that all frontends share, in the order in which they depend on each other.
+
+use super::DaemonError;
+use super::listeners::{AddressUse, FrontendAddresses, ListenAddress, listen};
+use crate::config::operators_file::OperatorsFile;
+use crate::config::{Config, WireSettings};
+use crate::core::{Clock, Dispatcher};
+use crate::discovery::EndpointDirectory;
+use crate::discovery::relays::settings::Distribution;
+use crate::discovery::schedule::PollSchedule;
+use crate::exclusions::Exclusions;
+use crate::frontend::admin::AdminServer;
+use crate::frontend::block::BlockFrontend;
+use crate::frontend::block::config::Target;
+use crate::frontend::request::FrontendContext;
+use crate::handover::{Handover, Shared};
+use crate::lifecycle::Lifecycle;
+use crate::metrics::counters::Counters;
+use crate::metrics::export;
+use crate::node::NodeTransport;
+use crate::plugin::Plugin;
+use crate::resources::descriptors::DescriptorBudget;
+use crate::resources::memory::BodyMemory;
+use crate::shedding::controller::SheddingController;
+use flaxgap_streams::Http2;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+
+/// Settings of the parts that are off by default, checked against the configuration.
+pub(super) struct OptionalSettings {
+    /// Load shedding.
+    pub(super) shedding: Option<flaxgap_load_shedding::Settings>,
+    /// The frontend for HTTP/2.
+    pub(super) http2: Option<Http2>,
+    /// The relays to follow in place of discovery.
+    pub(super) distribution: Option<Distribution>,
+    /// The block frontend's target.
+    pub(super) block_target: Option<Target>,
+}
+
+impl OptionalSettings {
+    /// Reads them from the operators' file and from the block frontend's file.
+    ///
+    /// # Errors
+    ///
+    /// [`DaemonError::OperatorsFile`] or [`DaemonError::Block`] if a file can't be served.
+    pub(super) fn check(
+        operators_file: &OperatorsFile,
+        block_file: Option<String>,
+        config: &Config,
+    ) -> Result<OptionalSettings, DaemonError> {
+        let shedding = operators_file.levels(&config.notes)?;
+        let http2 = operators_file.http2()?;
+        let distribution = operators_file.distribution()?;
+        let block_target =
+            block_file.map(|path| Target::load(&path, &config.settings, &config.notes)).transpose()?;
+        Ok(OptionalSettings { shedding, http2, distribution, block_target })
+    }
+
+    /// Where the frontends listen.
+    pub(super) fn frontend_addresses(&self, http: SocketAddr) -> FrontendAddresses {
+        FrontendAddresses {
+            http,
+            http2: self.http2.as_ref().map(|settings| settings.listen),
+            block: self.block_target.as_ref().map(|target| target.listen),
+        }
+    }
+}
+
+/// What the parts are built from.
+pub(super) struct BuildInput<'a> {
+    /// The configuration.
+    pub(super) config: &'a Config,
+    /// Whether the endpoint list comes from relays.
+    pub(super) follows_relays: bool,
+    /// The folder that the processes of this head share, if there is one.
+    pub(super) state_folder: Option<&'a Path>,
+    /// The phase of the program.
+    pub(super) lifecycle: Rc<Lifecycle>,
+    /// The counters.
+    pub(super) counters: Rc<Counters>,
+}
+
+/// The parts that all frontends share.
+#[derive(Clone)]
+pub(super) struct Parts {
+    /// Requests in hand, and the scheduler that decides on them.
+    pub(super) dispatcher: Rc<Dispatcher>,
+    /// The budget of file descriptors.
+    pub(super) descriptors: Rc<DescriptorBudget>,
+    /// The memory for bodies.
+    pub(super) memory: Rc<BodyMemory>,
+    /// Connections to nodes.
+    pub(super) nodes: Rc<NodeTransport>,
+    /// The endpoint list.
+    pub(super) directory: Rc<EndpointDirectory>,
+    /// Load shedding.
+    pub(super) shedding: Rc<SheddingController>,
+    /// The connection to other processes of this head.
+    pub(super) handover: Rc<Handover>,
+    /// The phase of the program.
+    pub(super) lifecycle: Rc<Lifecycle>,
+    /// The counters.
+    pub(super) counters: Rc<Counters>,
+}
+
+impl Parts {
+    /// Builds the parts; the scheduler's clock starts here.
+    ///
+    /// # Errors
+    ///
+    /// [`DaemonError::SchedulerSettings`] if the scheduler rejects its settings.
+    pub(super) fn build(input: BuildInput) -> Result<Parts, DaemonError> {
+        let BuildInput { config, follows_relays, state_folder, lifecycle, counters } = input;
+        let settings = &config.settings;
+        let wire_settings = &config.notes;
+        let dispatcher = Dispatcher::new(settings.clone(), config.seed, Clock::start(), counters.clone())?;
+        let descriptors = DescriptorBudget::new(config.limits.descriptors(), counters.clone());
+        let memory = BodyMemory::new(config.limits.memory_mb);
+        let nodes = NodeTransport::new(
+            descriptors.clone(),
+            memory.clone(),
+            counters.clone(),
+            wire_settings.connect_timeout,
+            wire_settings.conn_idle,
+            settings.heads,
+        );
+        let exclusions = Rc::new(Exclusions::load(state_folder, &config.name));
+        let directory = EndpointDirectory::new(
+            dispatcher.clone(),
+            nodes.clone(),
+            counters.clone(),
+            exclusions.clone(),
+            wire_settings.zone_names.clone(),
+            poll_schedule(config, follows_relays),
+        );
+        let shedding = SheddingController::new(
+            dispatcher.clone(),
+            descriptors.clone(),
+            memory.clone(),
+            lifecycle.clone(),
+            settings.clone(),
+            (state_folder, &config.name),
+        );
+        let shared = Shared {
+            dispatcher: dispatcher.clone(),
+            budget: descriptors.clone(),
+            memory: memory.clone(),
+            phases: lifecycle.clone(),
+            bans: exclusions,
+            directory: directory.clone(),
+            levels: shedding.clone(),
+        };
+        let handover = Handover::new(state_folder, &config.name, shared);
+        Ok(Parts {
+            dispatcher,
+            descriptors,
+            memory,
+            nodes,
+            directory,
+            shedding,
+            handover,
+            lifecycle,
+            counters,
+        })
+    }
+
+    /// Starts the admin server, which answers from the start on.
+    ///
+    /// # Errors
+    ///
+    /// [`DaemonError::Listen`] if its address can't be listened on.
+    pub(super) fn start_admin_server(&self, address: SocketAddr) -> Result<(), DaemonError> {
+        let listener = listen(ListenAddress { address, frontend: "ops" }, None, AddressUse::Exclusive)?;
+        let server = AdminServer::new(
+            self.lifecycle.clone(),
+            self.counters.clone(),
+            self.directory.clone(),
+            self.handover.clone(),
+            self.shedding.clone(),
+        );
+        spawn_local(server.listen(listener));
+        Ok(())
+    }
+
+    /// What the frontends for HTTP share.
+    pub(super) fn frontend_context(&self, wire_settings: WireSettings) -> Rc<FrontendContext<NodeTransport>> {
+        Rc::new(FrontendContext {
+            dispatcher: self.dispatcher.clone(),
+            transport: self.nodes.clone(),
+            notes: wire_settings,
+            phases: self.lifecycle.clone(),
+            budget: self.descriptors.clone(),
+            memory: self.memory.clone(),
+            counters: self.counters.clone(),
+        })
+    }
+
+    /// Starts the block frontend, if it is on.
+    pub(super) fn start_block_frontend(
+        &self,
+        listener: Option<Rc<TcpListener>>,
+        target: Option<Target>,
+        seed: u64,
+    ) {
+        let (Some(listener), Some(target)) = (listener, target) else { return };
+        let frontend = BlockFrontend::new(
+            self.dispatcher.clone(),
+            self.nodes.clone(),
+            target,
+            self.lifecycle.clone(),
+            self.descriptors.clone(),
+            self.counters.clone(),
+            seed,
+        );
+        spawn_local(frontend.listen(listener));
+    }
+
+    /// Starts the exports of counters and loads the plug-in, as far as the operators' file names them.
+    ///
+    /// # Errors
+    ///
+    /// [`DaemonError::Plugin`] if the plug-in can't be used.
+    pub(super) fn start_observers(&self, operators_file: &OperatorsFile) -> Result<(), DaemonError> {
+        if let Some(graphite) = operators_file.graphite.clone() {
+            spawn_local(export::to_graphite(graphite, self.counters.clone()));
+        }
+        if let Some(collectd) = operators_file.collectd.clone() {
+            spawn_local(export::to_collectd(collectd, self.counters.clone()));
+        }
+        if let Some(plugin) = &operators_file.plugin {
+            self.dispatcher.observe(Rc::new(Plugin::load(plugin, self.counters.clone())?));
+        }
+        Ok(())
+    }
+}
+
+/// When the head asks for the endpoint list.
+fn poll_schedule(config: &Config, follows_relays: bool) -> PollSchedule {
+    PollSchedule::new(
+        config.settings.heads,
+        config.seed,
+        config.settings.poll_interval_s.is_some() || follows_relays,
+        crate::core::seconds(config.notes.drain_grace),
+    )
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,13 +1,25 @@
-//! The storage head as a program.
+//! The storage head as a program: reads the environment and the files that it names, and runs the daemon.
 
 use flaxgap::config::Config;
 use flaxgap::config::operators_file::OperatorsFile;
 use flaxgap::daemon::{Daemon, Signals};
+use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// Names the configuration file; required.
+const CONFIG_FILE: &str = "LB_CONFIG";
+/// The admin server's address, where the configuration names none.
+const ADMIN_ADDRESS: &str = "LB_OPS";
+/// Names the operators' file.
+const OPERATORS_FILE: &str = "FLAXGAP_OPS";
+/// Names the block frontend's file.
+const BLOCK_FILE: &str = "FLAXGAP_BLOCK";
+/// The folder that the processes of one head share.
+const STATE_FOLDER: &str = "TMPDIR";
+
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
-    match start() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
             log::error!("flaxgap: {problem}");
@@ -16,22 +28,34 @@
     }
 }
 
-fn start() -> Result<(), Box<dyn std::error::Error>> {
+fn run() -> Result<(), Box<dyn std::error::Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
-    let signals = local.block_on(&runtime, async { Signals::take() })?;
-    let path = std::env::var("LB_CONFIG").map_err(|_| "LB_CONFIG names no configuration")?;
-    let mut config = Config::load(&path)?;
-    if let (None, Some(address)) = (config.ops, named("LB_OPS")) {
-        config.ops = Some(address.parse().map_err(|e| format!("LB_OPS: {address}: {e}"))?);
+    let signals = local.block_on(&runtime, async { Signals::install() })?;
+    let daemon = configure()?;
+    local.block_on(&runtime, daemon.run(signals))?;
+    Ok(())
+}
+
+/// The daemon with the configuration that the environment names.
+fn configure() -> Result<Daemon, Box<dyn std::error::Error>> {
+    let config_path =
+        std::env::var(CONFIG_FILE).map_err(|_| format!("{CONFIG_FILE} names no configuration"))?;
+    let mut config = Config::load(&config_path)?;
+    if let (None, Some(address)) = (config.ops, variable(ADMIN_ADDRESS)) {
+        let parsed = address.parse().map_err(|problem| format!("{ADMIN_ADDRESS}: {address}: {problem}"))?;
+        config.ops = Some(parsed);
     }
     log::info!("daemon: {} starts, discovery at {}", config.name, config.discovery);
-    let ops = named("FLAXGAP_OPS").map(|path| OperatorsFile::load(&path)).transpose()?.unwrap_or_default();
-    let daemon = Daemon::new(path, config, named("FLAXGAP_BLOCK"), ops, named("TMPDIR").map(Into::into));
-    Ok(local.block_on(&runtime, daemon.run(signals))?)
+    let operators_file = match variable(OPERATORS_FILE) {
+        Some(path) => OperatorsFile::load(&path)?,
+        None => OperatorsFile::default(),
+    };
+    let state_folder = variable(STATE_FOLDER).map(PathBuf::from);
+    Ok(Daemon::new(config_path, config, variable(BLOCK_FILE), operators_file, state_folder))
 }
 
-/// The file that a variable names; a variable that is not set, or empty, leaves its part off.
-fn named(variable: &str) -> Option<String> {
-    std::env::var(variable).ok().filter(|path| !path.is_empty())
+/// An environment variable's value; one that is not set, or empty, leaves its part off.
+fn variable(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
 }
