--- /dev/null
+++ b/crates/load-shedding/tests/stored_form.rs
@@ -0,0 +1,125 @@
+//! The literal form of what processes leave each other and of what operators are shown: `flaxgap-NAME.levels` and the
+//! body of `GET /ops/levels`. An older process reads what a newer one writes, and the other way round.
+
+use flaxgap_load_shedding::{Governor, Names, Of, Scope, Settings, Signal};
+
+/// A file of levels as the revision of December 2026 wrote it.
+const SAVED: &str = concat!(
+    r#"{"written":41.0,"head":{"level":"saves-limited","since":40.0,"why":{"kind":"pinned","who":"ann","#,
+    r#""why":"storm warning","until":640.0},"dwells":{"reserve-only":15.0,"saves-limited":15.0,"#,
+    r#""trim":15.0},"stepped":[18.25,"trim"],"recent":[3.25,18.25],"pin":{"who":"ann","#,
+    r#""why":"storm warning","since":40.0,"until":640.0}},"halls":{"north":{"level":"hall-returning","#,
+    r#""since":36.0,"why":{"kind":"eased","figures":[["nodes_lost",0.0,0.5]]},"dwells":{"hall-cut":2.0,"#,
+    r#""hall-returning":6.0},"stepped":[36.0,"hall-cut"],"recent":[1.75,36.0],"pin":null},"#,
+    r#""south":{"level":"hall-cut","since":40.0,"why":{"kind":"released","who":"bob","why":"it passed"},"#,
+    r#""dwells":{"hall-cut":2.0,"hall-returning":6.0},"stepped":null,"recent":[],"pin":null}},"#,
+    r#""changes":[{"at":1.75,"scope":"north","from":"normal","to":"hall-cut","why":{"kind":"pressed","#,
+    r#""signal":"nodes_lost","value":1.0,"threshold":0.75,"part":1.0}},{"at":3.25,"scope":"head","#,
+    r#""from":"normal","to":"trim","why":{"kind":"pressed","signal":"aims","value":0.85,"threshold":0.9,"#,
+    r#""part":1.0}},{"at":18.25,"scope":"head","from":"trim","to":"normal","why":{"kind":"eased","#,
+    r#""figures":[["aims",1.0,0.96],["held",0.125,0.3]]}},{"at":36.0,"scope":"north","from":"hall-cut","#,
+    r#""to":"hall-returning","why":{"kind":"eased","figures":[["nodes_lost",0.0,0.5]]}},{"at":40.0,"#,
+    r#""scope":"head","from":"normal","to":"saves-limited","why":{"kind":"pinned","who":"ann","#,
+    r#""why":"storm warning","until":640.0}},{"at":40.0,"scope":"south","from":"normal","to":"hall-cut","#,
+    r#""why":{"kind":"pinned","who":"ann","why":"x","until":100.0}},{"at":41.0,"scope":"south","#,
+    r#""from":"hall-cut","to":"hall-cut","why":{"kind":"released","who":"bob","why":"it passed"}}]}"#,
+);
+
+/// The answer to `GET /ops/levels` at the same moment, without its line breaks.
+const STATUS: &str = concat!(
+    r#"{"now":41.0,"levels":[{"scope":"head","level":"saves-limited","rung":2,"since":40.0,"for_s":1.0,"#,
+    r#""why":"pinned by ann: storm warning","reason":{"kind":"pinned","who":"ann","why":"storm warning","#,
+    r#""until":640.0},"pin":{"who":"ann","why":"storm warning","since":40.0,"until":640.0},"#,
+    r#""soonest_s":599.0,"ends":["the pin lapses in 599 s, or is released"],"changes_left":2,"#,
+    r#""readings":{"aims.play-fetch":"stale (1.000, 1.0 s ago)","held":"stale (0.125, 1.0 s ago)"}},"#,
+    r#"{"scope":"north","level":"hall-returning","rung":1,"since":36.0,"for_s":5.0,"#,
+    r#""why":"eased: nodes_lost at 0.000, good from 0.5","reason":{"kind":"eased","figures":[["nodes_lost","#,
+    r#"0.0,0.5]]},"pin":null,"soonest_s":1.5,"ends":["1.0 s of the 6 s that it lasts at least are to go","#,
+    r#""aims at 0.9 or above; now missing","nodes_lost at 0.2 or below; now stale (0.000, 1.0 s ago)"],"#,
+    r#""changes_left":7,"readings":{"aims":"missing","nodes_lost":"stale (0.000, 1.0 s ago)"}},"#,
+    r#"{"scope":"south","level":"hall-cut","rung":2,"since":40.0,"for_s":1.0,"#,
+    r#""why":"released by bob: it passed","reason":{"kind":"released","who":"bob","why":"it passed"},"#,
+    r#""pin":null,"soonest_s":1.5,"ends":["1.0 s of the 2 s that it lasts at least are to go","#,
+    r#""nodes_lost at 0.5 or below; now missing"],"changes_left":9,"readings":{"nodes_lost":"missing"}}],"#,
+    r#""head_levels":["normal","trim","saves-limited","reserve-only"],"hall_levels":["normal","#,
+    r#""hall-returning","hall-cut"],"changes_total":7,"changes":[{"at":41.0,"scope":"south","#,
+    r#""from":"hall-cut","to":"hall-cut","why":{"kind":"released","who":"bob","why":"it passed"}},"#,
+    r#"{"at":40.0,"scope":"south","from":"normal","to":"hall-cut","why":{"kind":"pinned","who":"ann","#,
+    r#""why":"x","until":100.0}},{"at":40.0,"scope":"head","from":"normal","to":"saves-limited","#,
+    r#""why":{"kind":"pinned","who":"ann","why":"storm warning","until":640.0}},{"at":36.0,"scope":"north","#,
+    r#""from":"hall-cut","to":"hall-returning","why":{"kind":"eased","figures":[["nodes_lost",0.0,0.5]]}},"#,
+    r#"{"at":18.25,"scope":"head","from":"trim","to":"normal","why":{"kind":"eased","figures":[["aims",1.0,"#,
+    r#"0.96],["held",0.125,0.3]]}},{"at":3.25,"scope":"head","from":"normal","to":"trim","#,
+    r#""why":{"kind":"pressed","signal":"aims","value":0.85,"threshold":0.9,"part":1.0}},{"at":1.75,"#,
+    r#""scope":"north","from":"normal","to":"hall-cut","why":{"kind":"pressed","signal":"nodes_lost","#,
+    r#""value":1.0,"threshold":0.75,"part":1.0}}]}"#,
+);
+
+/// When the file was written, in seconds.
+const WRITTEN_AT: f64 = 41.0;
+
+fn settings() -> Settings {
+    let names = Names {
+        classes: vec!["play-fetch".into(), "episode-save".into()],
+        plans: vec!["community".into(), "network".into()],
+        halls: vec!["north".into(), "south".into()],
+    };
+    Settings::usual(&names, &[false, true]).expect("settings")
+}
+
+/// Levels that were entered and left by evidence, set by an operator, and given back.
+fn levels_with_a_history() -> Governor {
+    let mut governor = Governor::new(settings(), 0.0);
+    let mut now = 0.0;
+    while now < 40.0 {
+        now += 0.25;
+        let aims = if now < 4.0 { 0.85 } else { 1.0 };
+        let lost = if now < 35.0 { 1.0 } else { 0.0 };
+        governor.read(Scope::Head, Signal::Aims(Of::Class(0)), aims, now);
+        governor.read(Scope::Head, Signal::Held, 0.125, now);
+        governor.read(Scope::Hall(0), Signal::NodesLost, lost, now);
+        governor.decide(now);
+    }
+    governor.pin(now, Scope::Head, "saves-limited", 600.0, "ann", "storm warning").expect("set");
+    governor.pin(now, Scope::Hall(1), "hall-cut", 60.0, "ann", "x").expect("set");
+    governor.release(WRITTEN_AT, Scope::Hall(1), "bob", "it passed").expect("released");
+    governor
+}
+
+#[test]
+fn the_file_of_levels_is_written_in_its_form() {
+    let written = serde_json::to_string(&levels_with_a_history().carry(WRITTEN_AT)).expect("JSON");
+    assert_eq!(written, SAVED);
+}
+
+#[test]
+fn the_file_of_levels_is_read_and_written_again_unchanged() {
+    let mut governor = Governor::new(settings(), WRITTEN_AT);
+    governor.resume(WRITTEN_AT, serde_json::from_str(SAVED).expect("a file of levels"));
+    let written = serde_json::to_string(&governor.carry(WRITTEN_AT)).expect("JSON");
+    assert_eq!(written, SAVED);
+}
+
+/// Guards against a reason that is stored under another word: all kinds are read and written.
+#[test]
+fn every_reason_keeps_its_stored_form() {
+    for reason in [
+        r#"{"kind":"start"}"#,
+        r#"{"kind":"pressed","signal":"aims","value":0.5,"threshold":0.9,"part":0.75}"#,
+        r#"{"kind":"eased","figures":[["held",0.1,0.3],["aims",1.0,0.96]]}"#,
+        r#"{"kind":"blind","seconds":10.25}"#,
+        r#"{"kind":"pinned","who":"ann","why":"storm","until":640.0}"#,
+        r#"{"kind":"lapsed","who":"ann"}"#,
+        r#"{"kind":"released","who":"bob","why":"it passed"}"#,
+        r#"{"kind":"settings"}"#,
+    ] {
+        let read: flaxgap_load_shedding::report::Why = serde_json::from_str(reason).expect(reason);
+        assert_eq!(serde_json::to_string(&read).expect("JSON"), reason);
+    }
+}
+
+#[test]
+fn operators_are_shown_levels_in_their_form() {
+    let status = serde_json::to_string(&levels_with_a_history().status(WRITTEN_AT)).expect("JSON");
+    assert_eq!(status, STATUS);
+}
