--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -99,9 +99,9 @@
         let names = Names {
             classes: of(&["play-fetch", "episode-save"]),
             plans: of(&["community", "network"]),
-            halls: of(&["north-hall", "south-hall", "east-hall"]),
+            zones: of(&["north-hall", "south-hall", "east-hall"]),
         };
-        let halls = names.halls.len();
+        let halls = names.zones.len();
         let hall = |place: usize| (place % halls) as u16;
         let nodes: Vec<Node> = (0..size.nodes)
             .map(|place| Node {
--- a/crates/lab/src/levels.rs
+++ b/crates/lab/src/levels.rs
@@ -1,80 +1,108 @@
-//! The experiment on levels of reduced service: load is driven up and down around each threshold, and the same day is
-//! played with levels, without, and with random refusals at the rate that the levels refused at.
+//! The experiment on load shedding: load is driven up and down around each threshold, and the same day is played with
+//! levels, without, and with random rejections at the rate that the levels rejected at.
 
 use crate::fleet::{COMMUNITY, Fleet, Size};
 use crate::load::{Arrival, Load, Shape, Surge, draw};
 use crate::measure::{Service, service};
-use crate::sim::{Day, Fault, Played, Policy, play};
-use flaxgap_load_shedding::Settings as Levels;
-use flaxgap_load_shedding::report::Why;
+use crate::sim::{Day, Ending, Fault, Played, Policy, play};
+use flaxgap_load_shedding::SheddingSettings;
+use flaxgap_load_shedding::report::{LevelTransition, TransitionReason};
+use flaxgap_load_shedding::settings::{EscalationPolicy, LevelSettings};
 use rayon::prelude::*;
 use serde::Serialize;
 
-/// Seconds that a day is played for to find the load at which a threshold is met, and how often it is halved.
-const TRIAL: f64 = 40.0;
-const HALVINGS: usize = 6;
-/// The range of load factors that is looked through.
-const FACTORS: (f64, f64) = (0.5, 8.0);
-/// The load swings by this part around the point where the threshold is met, once in so many seconds: near the
-/// dwell, where a level swings most easily.
+/// Seconds that a day is played for to find the load at which a threshold is met.
+const SEARCH_DAY_S: f64 = 40.0;
+/// Steps of that search; each halves the range.
+const SEARCH_STEPS: usize = 6;
+/// Lowest load factor of the search.
+const MIN_LOAD_FACTOR: f64 = 0.5;
+/// Highest load factor of the search.
+const MAX_LOAD_FACTOR: f64 = 8.0;
+/// Fraction by which the load swings around the point where the threshold is met.
 const SWING: f64 = 0.3;
-const PERIOD: f64 = 40.0;
-/// Seconds between two cuts or two stretches of late reports, and how long each takes.
-const EVERY: f64 = 75.0;
-const CUT: f64 = 20.0;
+/// Period of the swing in seconds: near the minimum duration, where a level swings most easily.
+const SWING_PERIOD_S: f64 = 40.0;
+/// Seconds between the starts of two faults or surges.
+const FAULT_INTERVAL_S: f64 = 75.0;
+/// When the first fault or surge starts, in seconds.
+const FIRST_FAULT_S: f64 = 20.0;
+/// How long a fault or surge lasts, in seconds.
+const FAULT_DURATION_S: f64 = 20.0;
+/// Delay of late usage reports, in seconds.
+const REPORT_DELAY_S: f64 = 3.4;
+/// Rate of a surge, as a multiple of the volume's usual rate.
+const SURGE_FACTOR: f64 = 12.0;
+/// Load factor of a cut under high load.
+const BUSY_LOAD_FACTOR: f64 = 2.0;
+/// Length of the worst stretch of a day, in seconds, as [`Service`] takes it.
+const WORST_STRETCH_S: usize = 10;
 
 /// What a day is driven around.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum Drive {
-    /// The entry of a level of the head, by its place.
+    /// The entry of a level of the head, by its index.
     Entry(usize),
-    /// Halls cut off, one after the other, and back cold.
+    /// Zones cut off, one after the other; their nodes return cold.
     Cut,
-    /// A hall cut off while the load is twice the usual.
+    /// Zones cut off while the load is twice the usual.
     BusyCut,
-    /// Use reports 3.4 s late.
+    /// Late usage reports.
     Lag,
-    /// One volume at twelve times its rate.
+    /// One volume far over its rate.
     Surge,
 }
 
-/// One row of the table.
+impl Drive {
+    /// Its name in the table.
+    fn name(self, settings: &SheddingSettings) -> String {
+        match self {
+            Drive::Entry(index) => settings.head.levels[index].name.clone(),
+            Drive::Cut => "hall-cut".into(),
+            Drive::BusyCut => "hall-cut, busy".into(),
+            Drive::Lag => "reports late".into(),
+            Drive::Surge => "surge of one".into(),
+        }
+    }
+}
+
+/// One row of the table: a day played with levels, without, and with random rejections at the same rate.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// What the day was driven around.
     pub threshold: String,
-    /// The load factor at which it was met.
+    /// The load factor at which the threshold was met.
     pub factor: f64,
     /// Seed of the day.
     pub seed: u64,
-    /// Requests that came.
+    /// Requests that arrived.
     pub requests: usize,
-    /// Changes of level at the head that had most, pins apart: of its own ladder, and of all its ladders.
+    /// Transitions of the head's own level by readings, at the head with most of them.
     pub changes_head: usize,
-    /// The same with those of its halls.
+    /// Transitions of the levels of head and zones by readings, at the head with most of them.
     pub changes_all: usize,
-    /// Part of the requests that the levels refused.
+    /// Fraction of the requests that the levels shed.
     pub withheld: f64,
-    /// Service with levels, without, and with random refusals at the same rate.
+    /// Service with levels.
     pub service_levels: f64,
-    /// Without.
+    /// Service without levels.
     pub service_none: f64,
-    /// Random.
+    /// Service with random rejections.
     pub service_random: f64,
-    /// The worst ten seconds with levels, and without.
+    /// Service in the worst ten seconds with levels.
     pub worst_levels: f64,
-    /// Without.
+    /// Service in the worst ten seconds without levels.
     pub worst_none: f64,
-    /// The part of what is due in those ten seconds that could have been served, where halls are cut off.
+    /// Service that was possible in the worst ten seconds without levels, where zones are cut off.
     pub worst_bound: f64,
-    /// The least part of its reserve that a volume got in time, with levels and without.
+    /// The lowest fraction of its reserve that a volume was served in time, with levels.
     pub reserve_levels: f64,
-    /// Without.
+    /// The lowest fraction of its reserve that a volume was served in time, without levels.
     pub reserve_none: f64,
     /// Seconds that the run with levels took on one core.
     #[serde(skip)]
     pub seconds: f64,
-    /// Answers that broke a rule, in all runs together.
+    /// Responses that broke a rule, in all runs together.
     pub broken: u64,
 }
 
@@ -95,21 +123,28 @@
     factor: f64,
 }
 
-/// The part of reserved work whose aim is met at a steady load, as the module counts it.
-fn aims(fleet: &Fleet, factor: f64, seed: u64) -> Result<f64, String> {
+/// A day as it was played, and its service.
+struct StagedRun {
+    played: Played,
+    service: Service,
+}
+
+/// The fraction of reserved work whose latency objective is met at a steady load, as the scheduler counts it.
+fn objective_met(fleet: &Fleet, factor: f64, seed: u64) -> Result<f64, String> {
     let load = Load { shape: Shape::Flat(factor), surges: vec![] };
-    let arrivals = draw(fleet, &load, TRIAL, seed ^ 0x7ea1);
-    let day = Day { fleet, arrivals: &arrivals, faults: &[], seconds: TRIAL, seed };
-    let (met, all) = play(&day, &Policy::Plain)?.kept;
-    Ok(if all > 0 { met as f64 / all as f64 } else { 1.0 })
+    let arrivals = draw(fleet, &load, SEARCH_DAY_S, seed ^ 0x7ea1);
+    let day = Day { fleet, arrivals: &arrivals, faults: &[], seconds: SEARCH_DAY_S, seed };
+    let (met_objective, completed) = play(&day, &Policy::Plain)?.kept;
+    Ok(if completed > 0 { met_objective as f64 / completed as f64 } else { 1.0 })
 }
 
-/// The load factor at which the aims met are at a threshold; the range's end where none is.
-fn meets(fleet: &Fleet, threshold: f64, seed: u64) -> Result<f64, String> {
-    let (mut low, mut high) = FACTORS;
-    for _ in 0..HALVINGS {
+/// The load factor at which the met objectives are at a threshold; the range's end where none is.
+fn load_factor_at(fleet: &Fleet, threshold: f64, seed: u64) -> Result<f64, String> {
+    let mut low = MIN_LOAD_FACTOR;
+    let mut high = MAX_LOAD_FACTOR;
+    for _ in 0..SEARCH_STEPS {
         let middle = (low * high).sqrt();
-        if aims(fleet, middle, seed)? > threshold {
+        if objective_met(fleet, middle, seed)? > threshold {
             low = middle;
         } else {
             high = middle;
@@ -118,41 +153,73 @@
     Ok((low * high).sqrt())
 }
 
-fn stage(drive: Drive, plan: Plan, levels: &Levels, seed: u64) -> Result<Staged, String> {
+/// When the faults or surges of a day start, in seconds.
+fn fault_starts(day_s: f64) -> Vec<f64> {
+    let count = (day_s / FAULT_INTERVAL_S) as usize;
+    (0..count).map(|number| FAULT_INTERVAL_S * number as f64 + FIRST_FAULT_S).collect()
+}
+
+/// Cuts the zones off one after the other.
+fn cuts(starts: &[f64], zones: usize) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    for (number, at) in starts.iter().enumerate() {
+        let zone = (number % zones) as u16;
+        faults.push(Fault::Cut { zone, at: *at, seconds: FAULT_DURATION_S, cold: true });
+    }
+    faults
+}
+
+fn late_reports(starts: &[f64]) -> Vec<Fault> {
+    let late = |at: &f64| Fault::Lag { at: *at, seconds: FAULT_DURATION_S, extra: Some(REPORT_DELAY_S) };
+    starts.iter().map(late).collect()
+}
+
+/// Surges of the first volume that is on a plan with a reserve.
+fn surges(starts: &[f64], fleet: &Fleet) -> Vec<Surge> {
+    let volume = fleet.volumes.iter().position(|volume| volume.plan != COMMUNITY).unwrap_or(0);
+    let surge = |from: &f64| Surge { volume, from: *from, seconds: FAULT_DURATION_S, times: SURGE_FACTOR };
+    starts.iter().map(surge).collect()
+}
+
+/// The load factor at which a level of the head is entered by the met objectives.
+fn entry_factor(index: usize, fleet: &Fleet, settings: &SheddingSettings, seed: u64) -> Result<f64, String> {
+    let conditions = &settings.head.levels[index].enter;
+    let entry = conditions.iter().find(|condition| condition.name == "aims");
+    let threshold = entry.ok_or("the level has no entry by aims")?.threshold;
+    load_factor_at(fleet, threshold, seed)
+}
+
+fn stage(drive: Drive, plan: Plan, settings: &SheddingSettings, seed: u64) -> Result<Staged, String> {
     let fleet = Fleet::draw(plan.size, seed);
-    let (mut faults, mut surges, mut shape, mut factor) = (vec![], vec![], Shape::Flat(1.0), 1.0);
-    let rounds = (plan.seconds / EVERY) as usize;
-    let starts = (0..rounds).map(|round| EVERY * round as f64 + 20.0);
+    let starts = fault_starts(plan.seconds);
+    let mut factor = 1.0;
+    let mut faults = Vec::new();
+    let mut load = Load { shape: Shape::Flat(factor), surges: Vec::new() };
     match drive {
-        Drive::Entry(place) => {
-            let entry = levels.head.rungs[place].enter.iter().find(|c| c.name == "aims");
-            let threshold = entry.ok_or("the level has no entry by aims")?.threshold;
-            factor = meets(&fleet, threshold, seed)?;
-            let (low, high) = (factor * (1.0 - SWING), factor * (1.0 + SWING));
-            shape = Shape::Swing { low, high, period: PERIOD };
+        Drive::Entry(index) => {
+            factor = entry_factor(index, &fleet, settings, seed)?;
+            let low = factor * (1.0 - SWING);
+            let high = factor * (1.0 + SWING);
+            load.shape = Shape::Swing { low, high, period: SWING_PERIOD_S };
         }
-        Drive::Cut | Drive::BusyCut => {
-            factor = if drive == Drive::BusyCut { 2.0 } else { 1.0 };
-            shape = Shape::Flat(factor);
-            let halls = fleet.names.halls.len();
-            let cut = |(round, at)| Fault::Cut { zone: (round % halls) as u16, at, seconds: CUT, cold: true };
-            faults = starts.enumerate().map(cut).collect();
+        Drive::Cut => faults = cuts(&starts, fleet.names.zones.len()),
+        Drive::BusyCut => {
+            factor = BUSY_LOAD_FACTOR;
+            load.shape = Shape::Flat(factor);
+            faults = cuts(&starts, fleet.names.zones.len());
         }
         Drive::Lag => {
-            shape = Shape::Swing { low: 1.0, high: 2.0, period: PERIOD };
-            faults = starts.map(|at| Fault::Lag { at, seconds: CUT, extra: Some(3.4) }).collect();
-        }
-        Drive::Surge => {
-            let volume = fleet.volumes.iter().position(|v| v.plan != COMMUNITY).unwrap_or(0);
-            surges = starts.map(|from| Surge { volume, from, seconds: CUT, times: 12.0 }).collect();
+            load.shape = Shape::Swing { low: 1.0, high: 2.0, period: SWING_PERIOD_S };
+            faults = late_reports(&starts);
         }
+        Drive::Surge => load.surges = surges(&starts, &fleet),
     }
-    let arrivals = draw(&fleet, &Load { shape, surges }, plan.seconds, seed);
+    let arrivals = draw(&fleet, &load, plan.seconds, seed);
     Ok(Staged { fleet, arrivals, faults, factor })
 }
 
 impl Staged {
-    fn play(&self, plan: Plan, policy: &Policy, seed: u64) -> Result<(Played, Service), String> {
+    fn play(&self, plan: Plan, policy: &Policy, seed: u64) -> Result<StagedRun, String> {
         let day = Day {
             fleet: &self.fleet,
             arrivals: &self.arrivals,
@@ -162,203 +229,277 @@
         };
         let played = play(&day, policy)?;
         let service = service(&self.fleet, &self.arrivals, &played.endings, plan.seconds);
-        Ok((played, service))
+        Ok(StagedRun { played, service })
     }
 
-    /// The service of the ten seconds from `at` if all were served but what a cut keeps apart.
-    fn bound(&self, plan: Plan, at: usize) -> f64 {
-        let apart = |arrival: &Arrival| {
-            let (head, node) =
-                (self.fleet.heads[arrival.head], self.fleet.nodes[arrival.shard as usize].zone);
-            self.faults.iter().any(|fault| match fault {
-                Fault::Cut { zone, at, seconds, .. } => {
-                    head != node
-                        && (head == *zone || node == *zone)
-                        && (*at..at + seconds).contains(&arrival.at)
-                }
-                _ => false,
-            })
-        };
-        let ending = |a: &Arrival| crate::sim::Ending { at: a.at, served: !apart(a) };
-        let endings: Vec<_> = self.arrivals.iter().map(ending).collect();
+    /// Whether a cut keeps a request's head and its node apart.
+    fn is_cut_off(&self, arrival: &Arrival) -> bool {
+        let head_zone = self.fleet.heads[arrival.head];
+        let node_zone = self.fleet.nodes[arrival.shard as usize].zone;
+        if head_zone == node_zone {
+            return false;
+        }
+        self.faults.iter().any(|fault| match fault {
+            Fault::Cut { zone, at, seconds, .. } => {
+                let is_between = head_zone == *zone || node_zone == *zone;
+                is_between && (*at..at + seconds).contains(&arrival.at)
+            }
+            _ => false,
+        })
+    }
+
+    /// The service of the ten seconds from `at` if all requests were served but those that a cut keeps apart.
+    fn best_service(&self, plan: Plan, at: usize) -> f64 {
+        let ending = |arrival: &Arrival| Ending { at: arrival.at, served: !self.is_cut_off(arrival) };
+        let endings: Vec<Ending> = self.arrivals.iter().map(ending).collect();
         let best = service(&self.fleet, &self.arrivals, &endings, plan.seconds);
-        let stretch = best.seconds.iter().skip(at).take(10);
-        let (got, due) = stretch.fold((0.0, 0.0), |sum, second| (sum.0 + second.0, sum.1 + second.1));
-        if due > 0.0 { got / due } else { 1.0 }
+        let mut served = 0.0;
+        let mut due = 0.0;
+        for (served_then, due_then) in best.seconds.iter().skip(at).take(WORST_STRETCH_S) {
+            served += served_then;
+            due += due_then;
+        }
+        if due > 0.0 { served / due } else { 1.0 }
     }
 }
 
-/// Changes that are counted: pins and their ends are an operator's.
-fn changes(played: &Played, all: bool) -> usize {
-    let counted = |change: &&flaxgap_load_shedding::report::Change| {
-        matches!(change.why, Why::Pressed { .. } | Why::Eased { .. } | Why::Blind { .. })
-            && (all || change.scope == "head")
+/// Which levels' transitions are counted.
+#[derive(Clone, Copy, PartialEq)]
+enum Counted {
+    /// The head's own level.
+    Head,
+    /// The levels of head and zones.
+    All,
+}
+
+/// Transitions by readings, at the head with most of them; overrides and their ends are an operator's.
+fn max_transitions(played: &Played, counted: Counted) -> usize {
+    let is_counted = |transition: &&LevelTransition| {
+        let by_readings = matches!(
+            transition.reason,
+            TransitionReason::ThresholdBreached { .. }
+                | TransitionReason::Recovered { .. }
+                | TransitionReason::NoReadings { .. }
+        );
+        by_readings && (counted == Counted::All || transition.scope == "head")
     };
-    played.changes.iter().map(|head| head.iter().filter(counted).count()).max().unwrap_or(0)
+    played.changes.iter().map(|head| head.iter().filter(is_counted).count()).max().unwrap_or(0)
+}
+
+/// The shed fraction of the requests, in each five seconds.
+fn shed_fractions(played: &Played) -> Vec<f64> {
+    let fraction = |(shed, arrived): &(u64, u64)| *shed as f64 / (*arrived).max(1) as f64;
+    played.withheld.iter().map(fraction).collect()
 }
 
-/// Refused part of the requests, in each five seconds.
-fn rates(played: &Played) -> Vec<f64> {
-    let rate = |(withheld, came): &(u64, u64)| *withheld as f64 / (*came).max(1) as f64;
-    played.withheld.iter().map(rate).collect()
+/// The shed fraction of the requests over the whole day.
+fn total_shed_fraction(played: &Played) -> f64 {
+    let shed: u64 = played.withheld.iter().map(|(shed, _)| shed).sum();
+    let arrived: u64 = played.withheld.iter().map(|(_, arrived)| arrived).sum();
+    shed as f64 / arrived.max(1) as f64
 }
 
 /// Plays one day in all three ways.
-pub fn row(drive: Drive, plan: Plan, levels: &Levels, seed: u64) -> Result<Row, String> {
-    let staged = stage(drive, plan, levels, seed)?;
-    let began = std::time::Instant::now();
-    let (with, got) = staged.play(plan, &Policy::Levels(Box::new(levels.clone())), seed)?;
-    let seconds = began.elapsed().as_secs_f64();
-    let (without, none) = staged.play(plan, &Policy::Plain, seed)?;
-    let (random, chance) = staged.play(plan, &Policy::Random(rates(&with)), seed)?;
-    let (withheld, came) = with.withheld.iter().fold((0, 0), |s, w| (s.0 + w.0, s.1 + w.1));
-    let threshold = match drive {
-        Drive::Entry(place) => levels.head.rungs[place].name.clone(),
-        Drive::Cut => "hall-cut".into(),
-        Drive::BusyCut => "hall-cut, busy".into(),
-        Drive::Lag => "reports late".into(),
-        Drive::Surge => "surge of one".into(),
-    };
+pub fn row(drive: Drive, plan: Plan, settings: &SheddingSettings, seed: u64) -> Result<Row, String> {
+    let staged = stage(drive, plan, settings, seed)?;
+    let started = std::time::Instant::now();
+    let levels = staged.play(plan, &Policy::Levels(Box::new(settings.clone())), seed)?;
+    let seconds = started.elapsed().as_secs_f64();
+    let none = staged.play(plan, &Policy::Plain, seed)?;
+    let random = staged.play(plan, &Policy::Random(shed_fractions(&levels.played)), seed)?;
     Ok(Row {
-        threshold,
+        threshold: drive.name(settings),
         factor: staged.factor,
         seed,
         requests: staged.arrivals.len(),
-        changes_head: changes(&with, false),
-        changes_all: changes(&with, true),
-        withheld: withheld as f64 / came.max(1) as f64,
-        service_levels: got.whole,
-        service_none: none.whole,
-        service_random: chance.whole,
-        worst_levels: got.worst,
-        worst_none: none.worst,
-        worst_bound: staged.bound(plan, none.worst_at),
-        reserve_levels: got.reserve_least,
-        reserve_none: none.reserve_least,
+        changes_head: max_transitions(&levels.played, Counted::Head),
+        changes_all: max_transitions(&levels.played, Counted::All),
+        withheld: total_shed_fraction(&levels.played),
+        service_levels: levels.service.whole,
+        service_none: none.service.whole,
+        service_random: random.service.whole,
+        worst_levels: levels.service.worst,
+        worst_none: none.service.worst,
+        worst_bound: staged.best_service(plan, none.service.worst_at),
+        reserve_levels: levels.service.reserve_least,
+        reserve_none: none.service.reserve_least,
         seconds,
-        broken: with.broken + without.broken + random.broken,
+        broken: levels.played.broken + none.played.broken + random.played.broken,
     })
 }
 
 /// All drives on all seeds, over all cores; the rows in the order of drives, then seeds.
-pub fn rows(plan: Plan, levels: &Levels, seeds: &[u64]) -> Result<Vec<Row>, String> {
-    let entries = (0..levels.head.rungs.len()).map(Drive::Entry);
-    let drives = entries.chain([Drive::Cut, Drive::BusyCut, Drive::Lag, Drive::Surge]);
-    let all: Vec<(Drive, u64)> = drives.flat_map(|d| seeds.iter().map(move |s| (d, *s))).collect();
-    all.into_par_iter().map(|(drive, seed)| row(drive, plan, levels, seed)).collect()
+pub fn rows(plan: Plan, settings: &SheddingSettings, seeds: &[u64]) -> Result<Vec<Row>, String> {
+    let mut drives: Vec<Drive> = (0..settings.head.levels.len()).map(Drive::Entry).collect();
+    drives.extend([Drive::Cut, Drive::BusyCut, Drive::Lag, Drive::Surge]);
+    let days = with_seeds(&drives, seeds);
+    days.into_par_iter().map(|(drive, seed)| row(drive, plan, settings, seed)).collect()
+}
+
+/// Each drive with each seed.
+fn with_seeds(drives: &[Drive], seeds: &[u64]) -> Vec<(Drive, u64)> {
+    let mut days = Vec::new();
+    for drive in drives {
+        for seed in seeds {
+            days.push((*drive, *seed));
+        }
+    }
+    days
 }
 
-/// A guard of the ladder that is left out.
+/// A safeguard of the levels that is left out. The `serde` names are those of the experiment's summary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ablation {
-    /// All guards stand.
+    /// All safeguards are in place.
     Full,
     /// Levels are left where they are entered.
     NoHysteresis,
     /// Levels may be left at once.
-    NoDwell,
-    /// One look is evidence.
+    #[serde(rename = "no_dwell")]
+    NoMinDuration,
+    /// One evaluation is evidence.
     NoWindow,
-    /// Changes are not bounded.
-    NoBound,
-    /// None of the guards stands.
-    NoGuard,
+    /// Transitions are not limited.
+    #[serde(rename = "no_bound")]
+    NoTransitionLimit,
+    /// None of the safeguards is in place.
+    #[serde(rename = "no_guard")]
+    NoSafeguard,
+}
+
+impl Ablation {
+    fn leaves_out(self, safeguard: Ablation) -> bool {
+        self == safeguard || self == Ablation::NoSafeguard
+    }
 }
 
 /// All of them.
 pub const ABLATIONS: [Ablation; 6] = [
     Ablation::Full,
     Ablation::NoHysteresis,
-    Ablation::NoDwell,
+    Ablation::NoMinDuration,
     Ablation::NoWindow,
-    Ablation::NoBound,
-    Ablation::NoGuard,
+    Ablation::NoTransitionLimit,
+    Ablation::NoSafeguard,
 ];
 
-/// Settings without a guard, such as no file could hold.
-pub fn ablate(levels: &Levels, what: Ablation) -> Levels {
-    let mut levels = levels.clone();
-    let all = what == Ablation::NoGuard;
-    for ladder in [&mut levels.head, &mut levels.hall] {
-        if all || what == Ablation::NoBound {
-            ladder.changes = usize::MAX / 2;
-        }
-        if all || what == Ablation::NoWindow {
-            ladder.window = 0.0;
+/// Settings without a safeguard, such as no file could hold.
+pub fn ablate(settings: &SheddingSettings, ablation: Ablation) -> SheddingSettings {
+    let mut settings = settings.clone();
+    ablate_policy(&mut settings.head, ablation);
+    ablate_policy(&mut settings.zone, ablation);
+    settings
+}
+
+fn ablate_policy(policy: &mut EscalationPolicy, ablation: Ablation) {
+    if ablation.leaves_out(Ablation::NoTransitionLimit) {
+        policy.max_transitions = usize::MAX / 2;
+    }
+    if ablation.leaves_out(Ablation::NoWindow) {
+        policy.window_s = 0.0;
+    }
+    if ablation.leaves_out(Ablation::NoMinDuration) {
+        policy.max_min_duration_s = 0.0;
+        for level in &mut policy.levels {
+            level.min_duration_s = 0.0;
         }
-        if all || what == Ablation::NoDwell {
-            ladder.dwell_most = 0.0;
+    }
+    if ablation.leaves_out(Ablation::NoHysteresis) {
+        for level in &mut policy.levels {
+            remove_hysteresis(level);
         }
-        for rung in &mut ladder.rungs {
-            if all || what == Ablation::NoDwell {
-                rung.dwell = 0.0;
-            }
-            if all || what == Ablation::NoHysteresis {
-                for exit in &mut rung.leave {
-                    let entry = rung.enter.iter().find(|entry| entry.signal == exit.signal);
-                    exit.threshold = entry.map_or(exit.threshold, |entry| entry.threshold);
-                }
-            }
+    }
+}
+
+/// Has a level left at the thresholds that it is entered at.
+fn remove_hysteresis(level: &mut LevelSettings) {
+    for exit in &mut level.leave {
+        if let Some(entry) = level.enter.iter().find(|entry| entry.signal == exit.signal) {
+            exit.threshold = entry.threshold;
         }
     }
-    levels
 }
 
-/// What one guard gains.
+/// What one safeguard gains.
 #[derive(Clone, Debug, Serialize)]
 pub struct Ablated {
     /// What was left out.
     pub guard: Ablation,
-    /// Changes at the head that had most, over all thresholds.
+    /// Transitions at the head with most of them, over all thresholds.
     pub changes_max: usize,
-    /// Mean changes of the head that had most.
+    /// Their mean.
     pub changes_mean: f64,
     /// Mean service.
     pub service: f64,
-    /// Mean of the worst ten seconds.
+    /// Mean service of the worst ten seconds.
     pub worst: f64,
 }
 
-/// Each guard left out, on the days around the entries of the head's levels.
-pub fn ablations(plan: Plan, levels: &Levels, seeds: &[u64]) -> Result<Vec<Ablated>, String> {
-    let drives: Vec<(Drive, u64)> = (0..levels.head.rungs.len())
-        .flat_map(|place| seeds.iter().map(move |seed| (Drive::Entry(place), *seed)))
-        .collect();
-    let staged: Vec<(Staged, u64)> = drives
+/// What one day with an ablation brought.
+struct AblatedRun {
+    transitions: usize,
+    service: f64,
+    worst: f64,
+}
+
+/// Each safeguard left out, on the days around the entries of the head's levels.
+pub fn ablations(plan: Plan, settings: &SheddingSettings, seeds: &[u64]) -> Result<Vec<Ablated>, String> {
+    let drives: Vec<Drive> = (0..settings.head.levels.len()).map(Drive::Entry).collect();
+    let staged: Vec<(Staged, u64)> = with_seeds(&drives, seeds)
         .into_par_iter()
-        .map(|(drive, seed)| Ok((stage(drive, plan, levels, seed)?, seed)))
+        .map(|(drive, seed)| Ok((stage(drive, plan, settings, seed)?, seed)))
         .collect::<Result<_, String>>()?;
-    let one = |guard: Ablation| {
-        let policy = Policy::Levels(Box::new(ablate(levels, guard)));
-        let all: Vec<(usize, f64, f64)> = staged
+    let mut ablated = Vec::new();
+    for ablation in ABLATIONS {
+        let policy = Policy::Levels(Box::new(ablate(settings, ablation)));
+        let runs: Vec<AblatedRun> = staged
             .par_iter()
-            .map(|(staged, seed)| {
-                let (played, service) = staged.play(plan, &policy, *seed)?;
-                Ok((changes(&played, false), service.whole, service.worst))
-            })
+            .map(|(staged, seed)| ablated_run(staged, plan, &policy, *seed))
             .collect::<Result<_, String>>()?;
-        let mean = |of: fn(&(usize, f64, f64)) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
-        Ok(Ablated {
-            guard,
-            changes_max: all.iter().map(|run| run.0).max().unwrap_or(0),
-            changes_mean: mean(|run| run.0 as f64),
-            service: mean(|run| run.1),
-            worst: mean(|run| run.2),
-        })
-    };
-    ABLATIONS.into_iter().map(one).collect()
-}
-
-/// One head of five held at `reserve-only`, the others at none: the least part of its reserve that a volume gets
-/// over all heads, against none held.
-pub fn one_head(plan: Plan, levels: &Levels, seed: u64) -> Result<(f64, f64), String> {
-    let staged = stage(Drive::Entry(0), plan, levels, seed)?;
-    let level = levels.head.rungs.last().ok_or("no levels")?.name.clone();
-    let held = Policy::Pinned { head: 0, level, settings: Box::new(levels.clone()) };
-    let (_, with) = staged.play(plan, &held, seed)?;
-    let (_, without) = staged.play(plan, &Policy::Plain, seed)?;
-    Ok((with.reserve_least, without.reserve_least))
+        ablated.push(summarize(ablation, &runs));
+    }
+    Ok(ablated)
+}
+
+fn ablated_run(staged: &Staged, plan: Plan, policy: &Policy, seed: u64) -> Result<AblatedRun, String> {
+    let run = staged.play(plan, policy, seed)?;
+    Ok(AblatedRun {
+        transitions: max_transitions(&run.played, Counted::Head),
+        service: run.service.whole,
+        worst: run.service.worst,
+    })
+}
+
+fn summarize(ablation: Ablation, runs: &[AblatedRun]) -> Ablated {
+    let mean = |value: fn(&AblatedRun) -> f64| runs.iter().map(value).sum::<f64>() / runs.len() as f64;
+    Ablated {
+        guard: ablation,
+        changes_max: runs.iter().map(|run| run.transitions).max().unwrap_or(0),
+        changes_mean: mean(|run| run.transitions as f64),
+        service: mean(|run| run.service),
+        worst: mean(|run| run.worst),
+    }
+}
+
+/// The lowest fraction of its reserve that a volume gets over all heads, with one head's level set by an override and
+/// without.
+#[derive(Clone, Copy, Debug)]
+pub struct OneHeadOverride {
+    /// With the first head at its highest level.
+    pub overridden: f64,
+    /// With all heads without levels.
+    pub none: f64,
+}
+
+/// Sets one head of several to its highest level, the others shed nothing.
+pub fn one_head(plan: Plan, settings: &SheddingSettings, seed: u64) -> Result<OneHeadOverride, String> {
+    let staged = stage(Drive::Entry(0), plan, settings, seed)?;
+    let level = settings.head.levels.last().ok_or("no levels")?.name.clone();
+    let policy = Policy::Pinned { head: 0, level, settings: Box::new(settings.clone()) };
+    let overridden = staged.play(plan, &policy, seed)?;
+    let none = staged.play(plan, &Policy::Plain, seed)?;
+    Ok(OneHeadOverride { overridden: overridden.service.reserve_least, none: none.service.reserve_least })
 }
 
 #[cfg(test)]
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -7,7 +7,7 @@
 use flaxgap_lab::levels::{self, Plan, Row};
 use flaxgap_lab::scale;
 use flaxgap_lab::scale::args::{RoleArgs, ScaleArgs};
-use flaxgap_load_shedding::Settings as Levels;
+use flaxgap_load_shedding::SheddingSettings;
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -78,17 +78,20 @@
     let plan = Plan { size, seconds: args.minutes as f64 * 60.0 };
     let names = Fleet::draw(size, args.seed).names;
     let levels = match &args.settings {
-        None => Levels::usual(&names, &[false, true]).map_err(|problem| problem.to_string())?,
+        None => {
+            SheddingSettings::with_defaults(&names, &[false, true]).map_err(|problem| problem.to_string())?
+        }
         Some(path) => {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-            Levels::parse(&text, &names, &[false, true]).map_err(|e| format!("{}: {e}", path.display()))?
+            SheddingSettings::parse(&text, &names, &[false, true])
+                .map_err(|e| format!("{}: {e}", path.display()))?
         }
     };
     let seeds: Vec<u64> = (args.seed..args.seed + args.seeds).collect();
     let began = Instant::now();
     let rows = levels::rows(plan, &levels, &seeds)?;
     let ablated = if args.no_ablation { vec![] } else { levels::ablations(plan, &levels, &seeds)? };
-    let (held, free) = levels::one_head(plan, &levels, args.seed)?;
+    let one_head = levels::one_head(plan, &levels, args.seed)?;
     let took = began.elapsed().as_secs_f64();
 
     println!(
@@ -121,6 +124,7 @@
         }
         println!("\n{shown}");
     }
+    let (held, free) = (one_head.overridden, one_head.none);
     println!("\none head held at the highest level: least reserve {held:.4}, without {free:.4}");
 
     let mean = |of: fn(&Row) -> f64| rows.iter().map(of).sum::<f64>() / rows.len() as f64;
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -10,9 +10,10 @@
     Action, AttemptOutcome, ClassId, Endpoint, Event, ExtentId, IoRequest, LoadReport, NodeId, NodeState,
     PlanId, RequestId, ShardId, UpdateKind, VolumeId, ZoneId,
 };
-use flaxgap::shedding::monitor::{Gauges, LoadMonitor};
-use flaxgap_load_shedding::report::Change;
-use flaxgap_load_shedding::{Governor, Settings as Levels};
+use flaxgap::shedding::monitor::{LoadMonitor, ResourceGauges};
+use flaxgap_load_shedding::level_override::{OperatorNote, OverrideRequest};
+use flaxgap_load_shedding::report::LevelTransition;
+use flaxgap_load_shedding::{LevelManager, Scope, SheddingSettings};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -81,7 +82,7 @@
     /// Nothing.
     Plain,
     /// Levels of reduced service.
-    Levels(Box<Levels>),
+    Levels(Box<SheddingSettings>),
     /// Each arrival is refused by chance, with the part of its five seconds.
     Random(Vec<f64>),
     /// One head is held at a level for the whole day, the others at none.
@@ -91,7 +92,7 @@
         /// The level.
         level: String,
         /// What is settled.
-        settings: Box<Levels>,
+        settings: Box<SheddingSettings>,
     },
 }
 
@@ -124,7 +125,7 @@
     /// By arrival.
     pub endings: Vec<Ending>,
     /// Changes of level, by head.
-    pub changes: Vec<Vec<Change>>,
+    pub changes: Vec<Vec<LevelTransition>>,
     /// Requests refused for a level or by chance, of those that came, in each five seconds.
     pub withheld: Vec<(u64, u64)>,
     /// Arrivals that found no connection.
@@ -213,28 +214,26 @@
             let seed = day.seed.wrapping_mul(31).wrapping_add(number as u64);
             let scheduler =
                 Scheduler::new(fleet.settings.clone(), seed, EPOCH).map_err(|problem| problem.to_string())?;
-            let governor = match policy {
-                Policy::Levels(settings) => Some(Governor::new((**settings).clone(), EPOCH)),
+            let levels = match policy {
+                Policy::Levels(settings) => Some(LevelManager::new((**settings).clone(), EPOCH)),
                 Policy::Pinned { head, level, settings } if *head == number => {
-                    let mut governor = Governor::new((**settings).clone(), EPOCH);
-                    governor
-                        .pin(
-                            EPOCH,
-                            flaxgap_load_shedding::Scope::Head,
-                            level,
-                            day.seconds + TAIL,
-                            "lab",
-                            "a day of it",
-                        )
+                    let mut levels = LevelManager::new((**settings).clone(), EPOCH);
+                    let request = OverrideRequest {
+                        level_name: level.clone(),
+                        duration_s: day.seconds + TAIL,
+                        note: OperatorNote { operator: "lab".into(), reason: "a day of it".into() },
+                    };
+                    levels
+                        .set_override(EPOCH, Scope::Head, &request)
                         .map_err(|problem| problem.to_string())?;
-                    Some(governor)
+                    Some(levels)
                 }
                 _ => None,
             };
             heads.push(Head {
                 zone: *zone,
                 scheduler,
-                monitor: governor.map(|governor| LoadMonitor::new(governor, &fleet.settings, EPOCH)),
+                monitor: levels.map(|levels| LoadMonitor::new(levels, &fleet.settings, EPOCH)),
                 pending: Vec::new(),
                 planned: false,
                 next_call: 0.0,
@@ -488,7 +487,7 @@
         let events = std::mem::take(&mut head.pending);
         head.scheduler.handle(now + EPOCH, &events, &mut actions);
         if let Some(monitor) = &mut head.monitor {
-            monitor.heed(now + EPOCH, &events, &actions);
+            monitor.record(now + EPOCH, &events, &actions);
         }
         let withheld = head.scheduler.shed_requests();
         let more = withheld - std::mem::replace(&mut head.withheld, withheld);
@@ -632,14 +631,14 @@
         let head = &mut self.heads[number];
         let descriptors = head.open.len() as f64 / most;
         let Some(monitor) = &mut head.monitor else { return };
-        let gauges = Gauges { memory: 0.0, descriptors, module: 0.0 };
-        let looked = monitor.look(now + EPOCH, head.scheduler.reserved_work_stats(), gauges);
-        let next = (monitor.governor().next_look() - EPOCH).max(now + 0.001);
-        self.played.changes[number].extend(looked.changes.into_iter().map(|mut change| {
+        let gauges = ResourceGauges { memory: 0.0, descriptors, scheduler_cpu_s: 0.0 };
+        let looked = monitor.evaluate(now + EPOCH, head.scheduler.reserved_work_stats(), gauges);
+        let next = (monitor.levels().next_evaluation() - EPOCH).max(now + 0.001);
+        self.played.changes[number].extend(looked.transitions.into_iter().map(|mut change| {
             change.at -= EPOCH;
             change
         }));
-        if let Some(level) = looked.level {
+        if let Some(level) = looked.level_update {
             self.tell(number, Event::SheddingLevelChanged(level));
         }
         self.agenda.plan(next, Due::Look { head: number });
--- a/crates/load-shedding/src/lib.rs
+++ b/crates/load-shedding/src/lib.rs
@@ -1,28 +1,33 @@
-//! Named levels of reduced service: what is measured, when a level is entered and left, and why.
+//! Load shedding by named levels: which signals are measured, when a level is entered and left, and why.
 //!
-//! Readings come in with [`Governor::read`]; [`Governor::decide`] looks at them once a period and says which
-//! levels changed; [`Governor::effect`] is what the levels in force let pass. Nothing here reads a clock, opens a
-//! file or a socket, or knows how requests are served: times are arguments, in seconds on a clock of the caller's
-//! choosing that never runs backwards, and the package's `clippy.toml` forbids the rest.
+//! Readings come in with [`LevelManager::record_reading`]; [`LevelManager::evaluate`] evaluates them once a period
+//! and returns the levels that changed; [`LevelManager::admission`] is what the levels in force admit. Nothing here
+//! reads a clock, opens a file or a socket, or knows how requests are served: times are arguments, in seconds on a
+//! monotonic clock of the caller's choice, and the package's `clippy.toml` forbids the rest.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`signal`] | what can be read, and how old a reading is |
-//! | [`estimate`] | how a reading comes out of single events |
-//! | [`settings`] | the ladder as operators word it, checked |
-//! | [`evidence`] | looks at a condition over a window |
-//! | [`ladder`] | one scope's level: entry, dwell, steps down, pins |
-//! | [`governor`] | all scopes of one head, their history and what they let pass |
-//! | [`report`] | what operators are shown, and what a newer process takes over |
+//! | [`signal`] | the signals, their names in settings, and how old a reading is |
+//! | [`measurement`] | how readings are computed from single events |
+//! | [`settings`] | the escalation policy as operators write it in TOML, and its check |
+//! | [`evaluation_window`] | evaluations of a condition over a window |
+//! | [`level_state`] | the level of one scope: entry, minimum duration, steps down, override |
+//! | [`level_manager`] | all scopes of one head, their history and what they admit |
+//! | [`level_override`] | a level that an operator sets, and its checks |
+//! | [`report`] | what operators are shown |
+//! | [`saved_state`] | what a newer process takes over |
 
-pub mod estimate;
-pub mod evidence;
-pub mod governor;
-pub mod ladder;
+pub mod evaluation_window;
+pub mod level_manager;
+pub mod level_override;
+pub mod level_state;
+pub mod measurement;
 pub mod report;
+pub mod saved_state;
 pub mod settings;
 pub mod signal;
+mod transition_limit;
 
-pub use governor::Governor;
-pub use settings::{Names, Pass, Settings, SettingsError};
-pub use signal::{Of, Scope, Signal};
+pub use level_manager::LevelManager;
+pub use settings::{Admission, Names, SheddingSettings, SheddingSettingsError};
+pub use signal::{ClassSelector, Scope, Signal};
--- a/crates/load-shedding/src/settings/tests.rs
+++ b/crates/load-shedding/src/settings/tests.rs
@@ -2,33 +2,33 @@
 
 use super::*;
 
-pub(crate) fn names() -> Names {
+fn names() -> Names {
     let of = |all: &[&str]| all.iter().map(|name| name.to_string()).collect();
     Names {
         classes: of(&["play-fetch", "episode-save"]),
         plans: of(&["community", "network"]),
-        halls: of(&["north", "south", "east"]),
+        zones: of(&["north", "south", "east"]),
     }
 }
 
-fn parse(text: &str) -> Result<Settings, SettingsError> {
-    Settings::parse(text, &names(), &[false, true])
+fn parse(text: &str) -> Result<SheddingSettings, SheddingSettingsError> {
+    SheddingSettings::parse(text, &names(), &[false, true])
 }
 
 #[test]
-fn an_empty_table_is_the_usual_ladder() {
-    let settings = parse("").expect("usual");
-    let rungs: Vec<&str> = settings.head.rungs.iter().map(|rung| rung.name.as_str()).collect();
-    assert_eq!(rungs, ["trim", "saves-limited", "reserve-only"]);
-    assert_eq!(settings.head.rungs[1].passes.of(0, 1), Pass::Share);
-    assert_eq!(settings.head.rungs[1].passes.of(1, 0), Pass::Reserve);
-    assert_eq!(settings.hall.rungs[1].passes.of(0, 0), Pass::Nothing);
-    assert_eq!(Settings::usual(&names(), &[false, true]), Ok(settings));
+fn an_empty_table_gives_the_default_levels() {
+    let settings = parse("").expect("defaults");
+    let level_names: Vec<&str> = settings.head.levels.iter().map(|level| level.name.as_str()).collect();
+    assert_eq!(level_names, ["trim", "saves-limited", "reserve-only"]);
+    assert_eq!(settings.head.levels[1].admission.admission(0, 1), Admission::WithinQuota);
+    assert_eq!(settings.head.levels[1].admission.admission(1, 0), Admission::WithinReserve);
+    assert_eq!(settings.zone.levels[1].admission.admission(0, 0), Admission::TrialOnly);
+    assert_eq!(SheddingSettings::with_defaults(&names(), &[false, true]), Ok(settings));
 }
 
 /// Guards against settings that contradict themselves: each is turned down with its line and key.
 #[test]
-fn contradictions_are_told_with_line_and_key() {
+fn contradictions_are_rejected_with_line_and_key() {
     let level = |lets: &str, enter: &str, leave: &str| {
         format!(
             "[[head.level]]\nname = \"a\"\nlets = [{lets}]\nenter = {{ {enter} }}\nleave = {{ {leave} }}\n"
@@ -67,8 +67,8 @@
         ("\n\nwindow = 3".into(), 3, "levels", "unknown field"),
     ];
     for (text, line, key, problem) in cases {
-        let told = parse(&text).expect_err(&text);
-        let fits = told.line == line && told.key.starts_with(key) && told.problem.contains(problem);
-        assert!(fits, "{told}\nin:\n{text}");
+        let error = parse(&text).expect_err(&text);
+        let fits = error.line == line && error.key.starts_with(key) && error.problem.contains(problem);
+        assert!(fits, "{error}\nin:\n{text}");
     }
 }
--- a/crates/load-shedding/tests/stored_form.rs
+++ b/crates/load-shedding/tests/stored_form.rs
@@ -1,7 +1,9 @@
 //! The literal form of what processes leave each other and of what operators are shown: `flaxgap-NAME.levels` and the
 //! body of `GET /ops/levels`. An older process reads what a newer one writes, and the other way round.
 
-use flaxgap_load_shedding::{Governor, Names, Of, Scope, Settings, Signal};
+use flaxgap_load_shedding::level_override::{OperatorNote, OverrideRequest};
+use flaxgap_load_shedding::report::TransitionReason;
+use flaxgap_load_shedding::{ClassSelector, LevelManager, Names, Scope, SheddingSettings, Signal};
 
 /// A file of levels as the revision of December 2026 wrote it.
 const SAVED: &str = concat!(
@@ -58,45 +60,56 @@
 /// When the file was written, in seconds.
 const WRITTEN_AT: f64 = 41.0;
 
-fn settings() -> Settings {
+fn settings() -> SheddingSettings {
     let names = Names {
         classes: vec!["play-fetch".into(), "episode-save".into()],
         plans: vec!["community".into(), "network".into()],
-        halls: vec!["north".into(), "south".into()],
+        zones: vec!["north".into(), "south".into()],
     };
-    Settings::usual(&names, &[false, true]).expect("settings")
+    SheddingSettings::with_defaults(&names, &[false, true]).expect("settings")
 }
 
-/// Levels that were entered and left by evidence, set by an operator, and given back.
-fn levels_with_a_history() -> Governor {
-    let mut governor = Governor::new(settings(), 0.0);
+fn note(operator: &str, reason: &str) -> OperatorNote {
+    OperatorNote { operator: operator.into(), reason: reason.into() }
+}
+
+fn request(level_name: &str, duration_s: f64, note: OperatorNote) -> OverrideRequest {
+    OverrideRequest { level_name: level_name.into(), duration_s, note }
+}
+
+/// Levels that were entered and left by readings, set by an operator, and released.
+fn levels_with_a_history() -> LevelManager {
+    let mut manager = LevelManager::new(settings(), 0.0);
     let mut now = 0.0;
     while now < 40.0 {
         now += 0.25;
-        let aims = if now < 4.0 { 0.85 } else { 1.0 };
-        let lost = if now < 35.0 { 1.0 } else { 0.0 };
-        governor.read(Scope::Head, Signal::Aims(Of::Class(0)), aims, now);
-        governor.read(Scope::Head, Signal::Held, 0.125, now);
-        governor.read(Scope::Hall(0), Signal::NodesLost, lost, now);
-        governor.decide(now);
+        let objective_met = if now < 4.0 { 0.85 } else { 1.0 };
+        let nodes_lost = if now < 35.0 { 1.0 } else { 0.0 };
+        let class = ClassSelector::Class(0);
+        manager.record_reading(Scope::Head, Signal::ObjectiveMet(class), objective_met, now);
+        manager.record_reading(Scope::Head, Signal::Pending, 0.125, now);
+        manager.record_reading(Scope::Zone(0), Signal::NodesLost, nodes_lost, now);
+        manager.evaluate(now);
     }
-    governor.pin(now, Scope::Head, "saves-limited", 600.0, "ann", "storm warning").expect("set");
-    governor.pin(now, Scope::Hall(1), "hall-cut", 60.0, "ann", "x").expect("set");
-    governor.release(WRITTEN_AT, Scope::Hall(1), "bob", "it passed").expect("released");
-    governor
+    let storm = request("saves-limited", 600.0, note("ann", "storm warning"));
+    manager.set_override(now, Scope::Head, &storm).expect("set");
+    let south = request("hall-cut", 60.0, note("ann", "x"));
+    manager.set_override(now, Scope::Zone(1), &south).expect("set");
+    manager.release_override(WRITTEN_AT, Scope::Zone(1), &note("bob", "it passed")).expect("released");
+    manager
 }
 
 #[test]
 fn the_file_of_levels_is_written_in_its_form() {
-    let written = serde_json::to_string(&levels_with_a_history().carry(WRITTEN_AT)).expect("JSON");
+    let written = serde_json::to_string(&levels_with_a_history().save(WRITTEN_AT)).expect("JSON");
     assert_eq!(written, SAVED);
 }
 
 #[test]
 fn the_file_of_levels_is_read_and_written_again_unchanged() {
-    let mut governor = Governor::new(settings(), WRITTEN_AT);
-    governor.resume(WRITTEN_AT, serde_json::from_str(SAVED).expect("a file of levels"));
-    let written = serde_json::to_string(&governor.carry(WRITTEN_AT)).expect("JSON");
+    let mut manager = LevelManager::new(settings(), WRITTEN_AT);
+    manager.restore(WRITTEN_AT, serde_json::from_str(SAVED).expect("a file of levels"));
+    let written = serde_json::to_string(&manager.save(WRITTEN_AT)).expect("JSON");
     assert_eq!(written, SAVED);
 }
 
@@ -113,7 +126,7 @@
         r#"{"kind":"released","who":"bob","why":"it passed"}"#,
         r#"{"kind":"settings"}"#,
     ] {
-        let read: flaxgap_load_shedding::report::Why = serde_json::from_str(reason).expect(reason);
+        let read: TransitionReason = serde_json::from_str(reason).expect(reason);
         assert_eq!(serde_json::to_string(&read).expect("JSON"), reason);
     }
 }
--- a/src/config/operators_file.rs
+++ b/src/config/operators_file.rs
@@ -5,8 +5,8 @@
 use crate::discovery::relays::settings::{Distribution, DistributionError, DistributionFile};
 use crate::metrics::export::{Collectd, Graphite};
 use crate::plugin::PluginConfig;
-use flaxgap_load_shedding::settings::LevelsFile;
-use flaxgap_load_shedding::{Names, Settings, SettingsError};
+use flaxgap_load_shedding::settings::file::LevelsFile;
+use flaxgap_load_shedding::{Names, SheddingSettings, SheddingSettingsError};
 use flaxgap_streams::settings::Http2Error;
 use flaxgap_streams::{Http2, Http2File};
 use serde::Deserialize;
@@ -23,7 +23,7 @@
     Malformed(String, toml::de::Error),
     /// Its levels contradict themselves.
     #[error("operations file {0}: {1}")]
-    Levels(String, SettingsError),
+    Levels(String, SheddingSettingsError),
     /// Its front of HTTP/2 can't be.
     #[error("operations file {0}: {1}")]
     Http2(String, Http2Error),
@@ -71,15 +71,15 @@
 
     /// The levels that it settles, checked against the classes, plans and zones of the installation; none where
     /// they are off.
-    pub fn levels(&self, notes: &WireSettings) -> Result<Option<Settings>, OperatorsFileError> {
+    pub fn levels(&self, notes: &WireSettings) -> Result<Option<SheddingSettings>, OperatorsFileError> {
         let (path, text) = &self.source;
         let Some(file) = &self.levels else { return Ok(None) };
         let names = Names {
             classes: notes.class_names.clone(),
             plans: notes.plan_names.clone(),
-            halls: notes.zone_names.clone(),
+            zones: notes.zone_names.clone(),
         };
-        let settings = Settings::check(file, text, &names, &notes.class_writes);
+        let settings = SheddingSettings::check(file, text, &names, &notes.class_writes);
         settings.map(Some).map_err(|problem| OperatorsFileError::Levels(path.clone(), problem))
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -13,9 +13,9 @@
     Action, AttemptOutcome, Class, ClassId, Event, ExtentId, Idempotency, IoRequest, LoadReport, NodeId,
     PlanId, RequestId, SchedulerSettings, SchedulerSettingsError, ShardId, SheddingLevel, VolumeId,
 };
-use crate::shedding::monitor::{Gauges, LoadMonitor};
+use crate::shedding::monitor::{LoadMonitor, ResourceGauges};
 use bytes::Bytes;
-use flaxgap_load_shedding::report::Change;
+use flaxgap_load_shedding::report::LevelTransition;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -405,29 +405,32 @@
 
     /// Tells the module of the levels in force, if it has not heard of them yet.
     pub fn apply_level(&self) {
-        let level = self.monitored(|monitor, now| monitor.moved(now)).flatten();
+        let level = self.monitored(|monitor, now| monitor.take_level_update(now)).flatten();
         level.into_iter().for_each(|level| self.tell(&[Event::SheddingLevelChanged(level)]));
     }
 
     /// Looks at the signals and tells the module what follows; the levels that changed. `memory` and
     /// `descriptors` are the parts in use.
-    pub fn look(&self, memory: f64, descriptors: f64) -> Vec<Change> {
-        let gauges = Gauges { memory, descriptors, module: self.spent.get().as_secs_f64() };
+    pub fn look(&self, memory: f64, descriptors: f64) -> Vec<LevelTransition> {
+        let gauges = ResourceGauges { memory, descriptors, scheduler_cpu_s: self.spent.get().as_secs_f64() };
         let looked = self.monitored(|monitor, now| {
             let state = self.state.borrow();
             self.counters.withheld.follow(state.scheduler.shed_requests());
-            let looked = monitor.look(now, state.scheduler.reserved_work_stats(), gauges);
-            let ((level, halls), pinned) = (monitor.governor().rungs(), monitor.governor().pinned());
-            let [level, halls, pinned] = [level, halls, pinned].map(|count| count as u64);
-            self.counters.set_levels(SheddingGauges { level, halls, pinned });
-            self.counters.level_changes.follow(monitor.governor().total());
+            let looked = monitor.evaluate(now, state.scheduler.reserved_work_stats(), gauges);
+            let counts = monitor.levels().level_counts();
+            self.counters.set_levels(SheddingGauges {
+                level: counts.head_level as u64,
+                halls: counts.reduced_zones as u64,
+                pinned: counts.overrides as u64,
+            });
+            self.counters.level_changes.follow(monitor.levels().total_transitions());
             looked
         });
         let looked = looked.unwrap_or_default();
-        if let Some(level) = looked.level {
+        if let Some(level) = looked.level_update {
             self.tell(&[Event::SheddingLevelChanged(level)]);
         }
-        looked.changes
+        looked.transitions
     }
 
     /// Takes an id for one request; false where a request has or had it. Ids are fresh on every request, a
@@ -493,7 +496,7 @@
         state.scheduler.handle(now, &events, &mut actions);
         if let Some(monitor) = self.monitor.borrow_mut().as_mut() {
             self.spent.set(self.spent.get() + Duration::from_secs_f64((self.clock.now() - now).max(0.0)));
-            monitor.heed(now, &events, &actions);
+            monitor.record(now, &events, &actions);
         }
         for action in actions {
             let (request, choice) = match action {
--- a/src/daemon/build.rs
+++ b/src/daemon/build.rs
@@ -21,7 +21,8 @@
 use crate::plugin::Plugin;
 use crate::resources::descriptors::DescriptorBudget;
 use crate::resources::memory::BodyMemory;
-use crate::shedding::controller::SheddingController;
+use crate::shedding::controller::{ControllerParts, SheddingController};
+use crate::shedding::level_file::LevelFile;
 use flaxgap_streams::Http2;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -32,7 +33,7 @@
 /// Settings of the parts that are off by default, checked against the configuration.
 pub(super) struct OptionalSettings {
     /// Load shedding.
-    pub(super) shedding: Option<flaxgap_load_shedding::Settings>,
+    pub(super) shedding: Option<flaxgap_load_shedding::SheddingSettings>,
     /// The frontend for HTTP/2.
     pub(super) http2: Option<Http2>,
     /// The relays to follow in place of discovery.
@@ -137,14 +138,14 @@
             wire_settings.zone_names.clone(),
             poll_schedule(config, follows_relays),
         );
-        let shedding = SheddingController::new(
-            dispatcher.clone(),
-            descriptors.clone(),
-            memory.clone(),
-            lifecycle.clone(),
-            settings.clone(),
-            (state_folder, &config.name),
-        );
+        let shedding = SheddingController::new(ControllerParts {
+            dispatcher: dispatcher.clone(),
+            descriptors: descriptors.clone(),
+            memory: memory.clone(),
+            lifecycle: lifecycle.clone(),
+            scheduler: settings.clone(),
+            level_file: LevelFile::new(state_folder, &config.name),
+        });
         let shared = Shared {
             dispatcher: dispatcher.clone(),
             budget: descriptors.clone(),
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -21,7 +21,7 @@
 struct NewConfiguration {
     config: Config,
     operators_file: OperatorsFile,
-    shedding: Option<flaxgap_load_shedding::Settings>,
+    shedding: Option<flaxgap_load_shedding::SheddingSettings>,
 }
 
 /// The configuration that the program runs with, and the parts to which a new one is applied.
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -42,7 +42,7 @@
         let nodes = parts.nodes.clone();
         BackgroundTasks {
             scheduler_clock: spawn_local(async move { dispatcher.keep_time().await }),
-            load_shedding: spawn_local(async move { shedding.keep().await }),
+            load_shedding: spawn_local(async move { shedding.run().await }),
             connection_pools: spawn_local(async move { nodes.sweep().await }),
         }
     }
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -99,7 +99,7 @@
     /// and for how many its source has said nothing.
     pub fn gauges(&self) -> Vec<(&'static str, usize)> {
         let membership = self.membership.borrow();
-        let banned = self.bans.names().into_iter().filter(|name| self.bans.holds(name));
+        let banned = self.bans.known_names().into_iter().filter(|name| self.bans.contains(name));
         let ready = |name: &String| membership.node(name).is_some_and(|node| node.state == State::Ready);
         let excluded = membership.len() - membership.ready() + banned.filter(ready).count();
         let seconds = |at: &Cell<Instant>| at.get().elapsed().as_secs() as usize;
@@ -115,9 +115,14 @@
 
     /// Takes a node out by hand, or calls it back; false for one that was never listed.
     pub fn ban(&self, name: &str, out: bool) -> io::Result<bool> {
-        let known = self.membership.borrow().knows(name) || self.bans.names().iter().any(|n| n == name);
+        let known = self.membership.borrow().knows(name) || self.bans.known_names().iter().any(|n| n == name);
         if known {
-            self.bans.set(name, out, self.dispatcher.clock().now())?;
+            let now = self.dispatcher.clock().now();
+            if out {
+                self.bans.exclude(name, now)?;
+            } else {
+                self.bans.readmit(name, now)?;
+            }
             log::info!("discovery: {name}: {} by hand", if out { "out" } else { "back" });
             self.bans_changed();
         }
@@ -135,11 +140,11 @@
     /// is, and one that is back has started anew, whatever the list says yet.
     fn settle(&self, node: &Node) -> Endpoint {
         let mut info = node_info(node);
-        if self.bans.holds(&node.name) {
+        if self.bans.contains(&node.name) {
             info.state = NodeState::Draining;
         }
         info.started_at =
-            self.bans.returned(&node.name).map_or(info.started_at, |at| info.started_at.max(at));
+            self.bans.readmitted_at(&node.name).map_or(info.started_at, |at| info.started_at.max(at));
         match node.address {
             Some(address) => {
                 let name = node.name.clone();
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,15 +1,21 @@
-//! The operators' door: one call a connection, over the state that the other fronts share.
+//! The admin server, by which operators ask and steer a running head: one call a connection, over the state that the
+//! other frontends share.
 //!
-//! Its connections have slots of their own beside the budget of descriptors, so that neither load nor clients
-//! delay it. When all are taken, the caller that has kept one longest without a whole call gives it up.
+//! Its connections have slots of their own beside the budget of descriptors, so that neither load nor clients delay
+//! it. When all slots are taken, the connection that has waited longest for a complete call is closed.
+
+mod call;
 
 use crate::discovery::EndpointDirectory;
 use crate::handover::Handover;
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::metrics::counters::Counters;
 use crate::resources::descriptors::FOR_OPERATORS;
-use crate::shedding::controller::{Hold, SheddingController};
+use crate::shedding::controller::SheddingController;
 use bytes::Bytes;
+use call::{AdminCall, CallError, NodeAction, OverrideCall};
+use flaxgap_load_shedding::level_override::OverrideError;
+use flaxgap_load_shedding::report::LevelTransition;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{ALLOW, CONTENT_TYPE, HeaderValue};
@@ -18,7 +24,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::cell::RefCell;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -27,46 +33,75 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::timeout;
 
-/// How long a connection is kept at most.
-const KEPT: Duration = Duration::from_secs(6);
-/// Pause after the system would not give a connection.
+/// Longest that a connection is served: calls take no time, so that a longer one is stuck.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(6);
+/// Pause after the system would not accept a connection, for descriptors to be freed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Longest head of a call.
-const LONGEST_HEAD: usize = 8 * 1024;
+/// Longest request line and headers of a call, in bytes; the least that hyper takes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+
+/// Connections that have not sent a complete call yet, the oldest first. Each is closed by its notification.
+#[derive(Default)]
+struct WaitingConnections {
+    close_signals: RefCell<VecDeque<Rc<Notify>>>,
+}
+
+impl WaitingConnections {
+    fn add(&self) -> Rc<Notify> {
+        let close = Rc::new(Notify::new());
+        self.close_signals.borrow_mut().push_back(close.clone());
+        close
+    }
+
+    fn remove(&self, close: &Rc<Notify>) {
+        self.close_signals.borrow_mut().retain(|other| !Rc::ptr_eq(other, close));
+    }
+
+    fn close_oldest(&self) {
+        if let Some(oldest) = self.close_signals.borrow_mut().pop_front() {
+            oldest.notify_one();
+        }
+    }
+}
 
-/// What all calls share.
+/// The admin server.
 pub struct AdminServer {
-    phases: Rc<Lifecycle>,
+    lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
     directory: Rc<EndpointDirectory>,
     handover: Rc<Handover>,
-    levels: Rc<SheddingController>,
-    /// Connections without a whole call, the oldest first.
-    waiting: RefCell<VecDeque<Rc<Notify>>>,
-    free: Arc<Semaphore>,
+    shedding: Rc<SheddingController>,
+    waiting: WaitingConnections,
+    slots: Arc<Semaphore>,
 }
 
 impl AdminServer {
-    /// A door without callers.
+    /// Creates a server without connections.
     pub fn new(
-        phases: Rc<Lifecycle>,
+        lifecycle: Rc<Lifecycle>,
         counters: Rc<Counters>,
         directory: Rc<EndpointDirectory>,
         handover: Rc<Handover>,
-        levels: Rc<SheddingController>,
+        shedding: Rc<SheddingController>,
     ) -> Rc<AdminServer> {
-        let free = Arc::new(Semaphore::new(FOR_OPERATORS));
-        let waiting = RefCell::default();
-        Rc::new(AdminServer { phases, counters, directory, handover, levels, waiting, free })
+        Rc::new(AdminServer {
+            lifecycle,
+            counters,
+            directory,
+            handover,
+            shedding,
+            waiting: WaitingConnections::default(),
+            slots: Arc::new(Semaphore::new(FOR_OPERATORS)),
+        })
     }
 
-    /// Accepts callers for as long as it is polled.
+    /// Accepts connections for as long as it is polled.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => self.clone().admit(stream).await,
-                Err(problem) => {
-                    log::warn!("ops: accept: {problem}");
+                Ok((stream, _)) => self.clone().accept(stream).await,
+                Err(error) => {
+                    log::warn!("ops: accept: {error}");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -74,130 +109,130 @@
     }
 
     /// Serves one connection in a task of its own, once there is a slot.
-    async fn admit(self: Rc<Self>, stream: TcpStream) {
-        if self.free.available_permits() == 0 {
-            if let Some(oldest) = self.waiting.borrow_mut().pop_front() {
-                oldest.notify_one();
-            }
+    async fn accept(self: Rc<Self>, stream: TcpStream) {
+        if self.slots.available_permits() == 0 {
+            self.waiting.close_oldest();
         }
-        // Calls take no time; whoever holds the last slot is answered, or gives it up.
-        let Ok(slot) = self.free.clone().acquire_owned().await else { return };
-        let give_up = Rc::new(Notify::new());
-        self.waiting.borrow_mut().push_back(give_up.clone());
+        // Calls take no time; whoever holds the last slot is answered, or closed.
+        let Ok(slot) = self.slots.clone().acquire_owned().await else { return };
+        let close = self.waiting.add();
         tokio::task::spawn_local(async move {
             let _slot = slot;
-            let call = service_fn(|request: Request<Incoming>| {
-                self.waiting.borrow_mut().retain(|other| !Rc::ptr_eq(other, &give_up));
-                let answer = self.answer(&request);
-                async move { Ok::<_, Infallible>(answer) }
-            });
-            let mut http = http1::Builder::new();
-            http.keep_alive(false).max_buf_size(LONGEST_HEAD);
-            tokio::select! {
-                ended = timeout(KEPT, http.serve_connection(TokioIo::new(stream), call)) => match ended {
-                    Ok(Ok(())) => {}
-                    Ok(Err(problem)) => log::debug!("ops: {problem}"),
-                    Err(_) => log::debug!("ops: no whole call"),
-                },
-                () = give_up.notified() => log::debug!("ops: a slot was wanted"),
-            }
-            self.waiting.borrow_mut().retain(|other| !Rc::ptr_eq(other, &give_up));
+            self.serve(stream, &close).await;
+            self.waiting.remove(&close);
         });
     }
 
-    fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-        let (method, wanted) = match request.uri().path() {
-            "/ops/readiness" | "/ops/stats" | "/ops/levels" => (request.method(), Method::GET),
-            "/ops/bricks/down" | "/ops/bricks/up" => (request.method(), Method::PUT),
-            "/ops/levels/pin" | "/ops/levels/release" => (request.method(), Method::PUT),
-            _ => return text(StatusCode::NOT_FOUND, "no such call\n"),
+    /// Serves one call, until the connection is to be closed.
+    async fn serve(&self, stream: TcpStream, close: &Rc<Notify>) {
+        let service = service_fn(|request: Request<Incoming>| {
+            self.waiting.remove(close);
+            let response = self.respond(&request);
+            async move { Ok::<_, Infallible>(response) }
+        });
+        let mut http = http1::Builder::new();
+        http.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
+        let connection = http.serve_connection(TokioIo::new(stream), service);
+        tokio::select! {
+            ended = timeout(CONNECTION_TIMEOUT, connection) => match ended {
+                Ok(Ok(())) => {}
+                Ok(Err(error)) => log::debug!("ops: connection failed, error={error}"),
+                Err(_) => log::debug!("ops: connection timed out without a complete call"),
+            },
+            () = close.notified() => log::debug!("ops: connection closed, its slot was wanted"),
+        }
+    }
+
+    fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+        let Some(call) = AdminCall::from_path(request.uri().path()) else {
+            return text(StatusCode::NOT_FOUND, "no such call\n");
         };
-        if *method != wanted {
-            let mut answer = text(StatusCode::METHOD_NOT_ALLOWED, format!("{method} has no meaning here\n"));
-            let allow = HeaderValue::from_str(wanted.as_str());
-            allow.into_iter().for_each(|allow| _ = answer.headers_mut().insert(ALLOW, allow));
-            return answer;
+        let method = request.method();
+        if *method != call.method() {
+            return method_not_allowed(method, &call.method());
         }
-        match request.uri().path() {
-            "/ops/readiness" => {
-                let phase = self.phases.now();
-                let ready = phase == Phase::Ready;
-                let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-                text(status, format!("{phase:?}\n"))
-            }
-            "/ops/stats" => text(StatusCode::OK, self.counters.exposition(&self.directory.gauges())),
-            "/ops/levels" => match self.levels.status() {
+        let query = request.uri().query().unwrap_or_default();
+        match call {
+            AdminCall::Readiness => self.readiness(),
+            AdminCall::Stats => text(StatusCode::OK, self.counters.exposition(&self.directory.gauges())),
+            AdminCall::Levels => match self.shedding.status_json() {
                 Some(status) => json(status),
-                None => levels_off(),
+                None => shedding_is_off(),
             },
-            path @ ("/ops/levels/pin" | "/ops/levels/release") => {
-                self.hold_level(path == "/ops/levels/pin", request.uri().query().unwrap_or_default())
-            }
-            path => {
-                let query = request.uri().query().unwrap_or_default();
-                let mut named = form_urlencoded::parse(query.as_bytes()).filter(|(name, _)| name == "host");
-                let (Some((_, name)), None) = (named.next(), named.next()) else {
-                    return text(StatusCode::BAD_REQUEST, "one host has to be named\n");
-                };
-                let out = path == "/ops/bricks/down";
-                match self.directory.ban(&name, out) {
-                    Ok(true) => {
-                        self.handover.bans_changed();
-                        text(StatusCode::OK, format!("{name} {}\n", if out { "out" } else { "back" }))
-                    }
-                    Ok(false) => text(StatusCode::NOT_FOUND, "never listed\n"),
-                    Err(problem) => {
-                        log::error!("ops: bans: {problem}");
-                        text(StatusCode::INTERNAL_SERVER_ERROR, format!("not saved: {problem}\n"))
-                    }
-                }
-            }
+            AdminCall::Node(action) => self.change_exclusion(action, query),
+            AdminCall::SetOverride => self.change_override(OverrideCall::parse_set(query)),
+            AdminCall::ReleaseOverride => self.change_override(OverrideCall::parse_release(query)),
         }
     }
-}
 
-impl AdminServer {
-    /// Pins a level or releases it, as the query says.
-    fn hold_level(&self, pin: bool, query: &str) -> Response<Full<Bytes>> {
-        let wanted: &[&str] =
-            if pin { &["scope", "level", "seconds", "who", "why"] } else { &["scope", "who", "why"] };
-        let mut named = BTreeMap::new();
-        for (name, value) in form_urlencoded::parse(query.as_bytes()) {
-            if !wanted.contains(&&*name) || named.insert(name.to_string(), value.to_string()).is_some() {
-                let problem = format!("{name}: unknown, or there twice; wanted are {}\n", wanted.join(", "));
-                return text(StatusCode::BAD_REQUEST, problem);
+    fn readiness(&self) -> Response<Full<Bytes>> {
+        let phase = self.lifecycle.now();
+        let is_ready = phase == Phase::Ready;
+        let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        text(status, format!("{phase:?}\n"))
+    }
+
+    /// Excludes a node or readmits it.
+    fn change_exclusion(&self, action: NodeAction, query: &str) -> Response<Full<Bytes>> {
+        let node_name = match call::node_name(query) {
+            Ok(name) => name,
+            Err(error) => return bad_request(&error),
+        };
+        match self.directory.ban(&node_name, action == NodeAction::Exclude) {
+            Ok(true) => {
+                self.handover.bans_changed();
+                text(StatusCode::OK, format!("{node_name} {}\n", action.outcome()))
+            }
+            Ok(false) => text(StatusCode::NOT_FOUND, "never listed\n"),
+            Err(error) => {
+                log::error!("ops: exclusion not saved, node={node_name}, error={error}");
+                text(StatusCode::INTERNAL_SERVER_ERROR, format!("not saved: {error}\n"))
             }
         }
-        let mut take = |name: &str| named.remove(name).unwrap_or_default();
-        let (scope, who, why) = (take("scope"), take("who"), take("why"));
-        let done = match (pin, take("level"), take("seconds").parse()) {
-            (false, ..) => self.levels.release(&scope, &who, &why),
-            (true, level, Ok(seconds)) => self.levels.pin(&Hold { scope, level, seconds, who, why }),
-            (true, ..) => return text(StatusCode::BAD_REQUEST, "seconds: a number is wanted\n"),
+    }
+
+    /// Sets the level of a scope or releases its override.
+    fn change_override(&self, call: Result<OverrideCall, CallError>) -> Response<Full<Bytes>> {
+        let result: Option<Result<LevelTransition, OverrideError>> = match &call {
+            Ok(OverrideCall::Set { scope, request }) => self.shedding.set_override(scope, request),
+            Ok(OverrideCall::Release { scope, note }) => self.shedding.release_override(scope, note),
+            Err(error) => return bad_request(error),
         };
-        match done {
-            None => levels_off(),
-            Some(Err(problem)) => text(StatusCode::BAD_REQUEST, format!("{problem}\n")),
-            Some(Ok(change)) => {
+        match result {
+            None => shedding_is_off(),
+            Some(Err(error)) => bad_request(&error),
+            Some(Ok(transition)) => {
                 self.handover.pins_changed();
-                text(StatusCode::OK, format!("{change}\n"))
+                text(StatusCode::OK, format!("{transition}\n"))
             }
         }
     }
 }
 
-fn levels_off() -> Response<Full<Bytes>> {
+fn method_not_allowed(method: &Method, allowed: &Method) -> Response<Full<Bytes>> {
+    let mut response = text(StatusCode::METHOD_NOT_ALLOWED, format!("{method} has no meaning here\n"));
+    if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
+        response.headers_mut().insert(ALLOW, allowed);
+    }
+    response
+}
+
+fn shedding_is_off() -> Response<Full<Bytes>> {
     text(StatusCode::NOT_FOUND, "levels are off: the operators' file has no [levels]\n")
 }
 
+fn bad_request(error: &impl std::error::Error) -> Response<Full<Bytes>> {
+    text(StatusCode::BAD_REQUEST, format!("{error}\n"))
+}
+
 fn json(body: String) -> Response<Full<Bytes>> {
     let mut response = text(StatusCode::OK, body);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(text.into()));
+fn text(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; version=0.0.4"));
     response
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -251,7 +251,7 @@
                         self.shared.bans.reload();
                         self.shared.directory.bans_changed();
                     }
-                    PINS => self.shared.levels.pins_changed(),
+                    PINS => self.shared.levels.reload_overrides(),
                     _ => log::debug!("handover: a word without a meaning"),
                 }
             }
--- a/src/shedding/controller.rs
+++ b/src/shedding/controller.rs
@@ -1,221 +1,224 @@
-//! Levels of reduced service in a running head: looks at the signals once a period, logs what changed, keeps it in
-//! the head's folder for the process that follows, and answers operators. What is decided, and how, is in
-//! `flaxgap_load_shedding` and `watch`.
+//! Load shedding in a running head: evaluates the signals once a period, logs each transition, keeps the levels in a
+//! file for the process that follows, and carries out operators' overrides. What is decided, and how, is in
+//! `flaxgap_load_shedding` and [`monitor`](crate::shedding::monitor).
 
 use crate::core::{Dispatcher, seconds};
 use crate::lifecycle::Lifecycle;
 use crate::resources::descriptors::DescriptorBudget;
 use crate::resources::memory::BodyMemory;
+use crate::scheduler::SchedulerSettings;
+use crate::shedding::level_file::LevelFile;
 use crate::shedding::monitor::LoadMonitor;
-use flaxgap_load_shedding::governor::PinError;
-use flaxgap_load_shedding::report::{Carry, Change};
-use flaxgap_load_shedding::{Governor, Settings};
-use std::cell::{Cell, RefCell};
-use std::io;
-use std::path::{Path, PathBuf};
+use flaxgap_load_shedding::level_manager::LevelCounts;
+use flaxgap_load_shedding::level_override::{OperatorNote, OverrideError, OverrideRequest};
+use flaxgap_load_shedding::report::LevelTransition;
+use flaxgap_load_shedding::{LevelManager, SheddingSettings};
+use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// How often the file is written anew while a level is in force: it tells how old what it says is.
-const REWRITTEN: f64 = 2.0;
-/// Pause where levels are off.
-const IDLE: Duration = Duration::from_secs(3600);
-
-/// A level that an operator wants held.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Hold {
-    /// `head`, or a hall's name.
-    pub scope: String,
-    /// The level.
-    pub level: String,
-    /// For how long.
-    pub seconds: f64,
-    /// Who.
-    pub who: String,
-    /// Why.
-    pub why: String,
+/// Period of the loop where load shedding is off: it waits for settings.
+const IDLE_PERIOD: Duration = Duration::from_secs(3600);
+/// Pause after new settings: ones that change all the time must not keep the core busy.
+const RELOAD_PAUSE: Duration = Duration::from_millis(1);
+
+/// What a [`SheddingController`] works with.
+pub struct ControllerParts {
+    /// Holds the monitor and notifies the scheduler.
+    pub dispatcher: Rc<Dispatcher>,
+    /// The descriptors in use.
+    pub descriptors: Rc<DescriptorBudget>,
+    /// The memory in use.
+    pub memory: Rc<BodyMemory>,
+    /// Whether a newer process has taken over.
+    pub lifecycle: Rc<Lifecycle>,
+    /// The scheduler's settings.
+    pub scheduler: SchedulerSettings,
+    /// Where levels are kept for the next process.
+    pub level_file: LevelFile,
 }
 
-/// The levels of a running head.
+/// Load shedding of a running head. The levels themselves are in the dispatcher's [`LoadMonitor`].
 pub struct SheddingController {
-    dispatcher: Rc<Dispatcher>,
-    budget: Rc<DescriptorBudget>,
-    memory: Rc<BodyMemory>,
-    phases: Rc<Lifecycle>,
-    module: crate::scheduler::SchedulerSettings,
-    settings: RefCell<Option<Settings>>,
-    path: Option<PathBuf>,
-    written: Cell<f64>,
-    changed: Notify,
+    parts: ControllerParts,
+    /// None while load shedding is off.
+    settings: RefCell<Option<SheddingSettings>>,
+    settings_changed: Notify,
 }
 
 impl SheddingController {
-    /// Levels that are off. `folder` is where processes of one head leave word to each other.
-    pub fn new(
-        dispatcher: Rc<Dispatcher>,
-        budget: Rc<DescriptorBudget>,
-        memory: Rc<BodyMemory>,
-        phases: Rc<Lifecycle>,
-        module: crate::scheduler::SchedulerSettings,
-        (folder, name): (Option<&Path>, &str),
-    ) -> Rc<SheddingController> {
-        let path = folder.map(|folder| folder.join(format!("flaxgap-{name}.levels")));
-        let (settings, written, changed) = Default::default();
+    /// Creates a controller with load shedding off.
+    pub fn new(parts: ControllerParts) -> Rc<SheddingController> {
         Rc::new(SheddingController {
-            dispatcher,
-            budget,
-            memory,
-            phases,
-            module,
-            settings,
-            path,
-            written,
-            changed,
+            parts,
+            settings: RefCell::default(),
+            settings_changed: Notify::default(),
         })
     }
 
-    /// Other settings hold from now on; none switches levels off. What is in force goes on where it can. True if
-    /// the monitor is new, and has to be told of the nodes.
-    pub fn configure(&self, settings: Option<Settings>) -> bool {
+    /// Puts other settings in force; none switches load shedding off. Levels go on where they can. Returns true if
+    /// the monitor is new, and has to be notified of the nodes.
+    pub fn configure(&self, settings: Option<SheddingSettings>) -> bool {
         let before = self.settings.replace(settings.clone());
-        let now = self.dispatcher.clock().now();
-        self.changed.notify_one();
+        self.settings_changed.notify_one();
         match (before, settings) {
             (None, None) => false,
             (Some(_), None) => {
-                log::info!("levels: off");
-                self.dispatcher.monitor(None);
+                self.switch_off();
                 false
             }
             (Some(before), Some(settings)) => {
                 if before != settings {
-                    let changes = self.dispatcher.monitored(|monitor, now| monitor.configure(settings, now));
-                    self.note(&changes.unwrap_or_default());
+                    self.reconfigure(settings);
                 }
                 false
             }
             (None, Some(settings)) => {
-                let mut governor = Governor::new(settings, now);
-                if let Some(carry) = self.read() {
-                    governor.resume(now, carry);
-                }
-                let rungs = governor.rungs();
-                log::info!("levels: on, the head at rung {}, {} halls reduced", rungs.0, rungs.1);
-                self.dispatcher.monitor(Some(LoadMonitor::new(governor, &self.module, now)));
+                self.switch_on(settings);
                 true
             }
         }
     }
 
-    /// Looks once a period, for as long as it is polled.
-    pub async fn keep(&self) {
+    fn switch_off(&self) {
+        log::info!("levels: off");
+        self.parts.dispatcher.monitor(None);
+    }
+
+    fn switch_on(&self, settings: SheddingSettings) {
+        let now = self.now();
+        let mut levels = LevelManager::new(settings, now);
+        if let Some(saved) = self.parts.level_file.load() {
+            levels.restore(now, saved);
+        }
+        let LevelCounts { head_level, reduced_zones, .. } = levels.level_counts();
+        log::info!("levels: on, head_level={head_level}, reduced_zones={reduced_zones}");
+        let monitor = LoadMonitor::new(levels, &self.parts.scheduler, now);
+        self.parts.dispatcher.monitor(Some(monitor));
+    }
+
+    fn reconfigure(&self, settings: SheddingSettings) {
+        let transitions = self.with_monitor(|monitor, now| monitor.configure(settings, now));
+        self.handle_transitions(&transitions.unwrap_or_default());
+    }
+
+    /// Evaluates once a period, for as long as it is polled.
+    pub async fn run(&self) {
         loop {
-            let period = self.settings.borrow().as_ref().map_or(IDLE, |settings| seconds(settings.period));
-            if timeout(period, self.changed.notified()).await.is_err() {
-                let changes = self.dispatcher.look(self.memory.used(), self.budget.used());
-                self.note(&changes);
+            let period_s = self.settings.borrow().as_ref().map(|settings| settings.period_s);
+            let period = period_s.map_or(IDLE_PERIOD, seconds);
+            if timeout(period, self.settings_changed.notified()).await.is_err() {
+                self.evaluate();
             } else {
-                // Settings that change all the time must not keep the core busy.
-                sleep(Duration::from_millis(1)).await;
+                sleep(RELOAD_PAUSE).await;
             }
         }
     }
 
-    /// One log line a change, and the file anew.
-    fn note(&self, changes: &[Change]) {
-        for change in changes {
-            let (scope, from, to) = (&change.scope, &change.from, &change.to);
-            log::warn!(event = "level", scope:%, from:%, to:%; "levels: {change}");
+    fn evaluate(&self) {
+        let ControllerParts { dispatcher, descriptors, memory, .. } = &self.parts;
+        let transitions = dispatcher.look(memory.used(), descriptors.used());
+        self.handle_transitions(&transitions);
+    }
+
+    fn now(&self) -> f64 {
+        self.parts.dispatcher.clock().now()
+    }
+
+    /// Calls with the monitor and the time; none where load shedding is off.
+    fn with_monitor<R>(&self, call: impl FnOnce(&mut LoadMonitor, f64) -> R) -> Option<R> {
+        self.parts.dispatcher.monitored(call)
+    }
+
+    /// Logs each transition, and saves the levels if there is one or if the file is old.
+    fn handle_transitions(&self, transitions: &[LevelTransition]) {
+        for transition in transitions {
+            let LevelTransition { scope, from, to, .. } = transition;
+            log::warn!(event = "level", scope:%, from:%, to:%; "levels: {transition}");
         }
-        let now = self.dispatcher.clock().now();
-        let due = || {
-            let in_force = |monitor: &mut LoadMonitor, _| {
-                let governor = monitor.governor();
-                governor.rungs() != (0, 0) || governor.pinned() > 0
-            };
-            now - self.written.get() >= REWRITTEN && self.dispatcher.monitored(in_force).unwrap_or(false)
-        };
-        // A newer process in service writes in this one's place.
-        if !self.phases.leaving() && (!changes.is_empty() || due()) {
+        // Once a newer process serves, it writes the file.
+        if self.parts.lifecycle.leaving() {
+            return;
+        }
+        let now = self.now();
+        if !transitions.is_empty() || self.is_rewrite_due(now) {
             self.save(now);
         }
     }
 
-    fn save(&self, now: f64) {
-        let Some(path) = &self.path else { return };
-        let Some(carry) = self.dispatcher.monitored(|monitor, now| monitor.governor().carry(now)) else {
-            return;
-        };
-        let draft = path.with_extension("levels-draft");
-        let write = || {
-            std::fs::write(&draft, serde_json::to_vec(&carry)?)?;
-            std::fs::rename(&draft, path)
-        };
-        match write() {
-            Ok(()) => self.written.set(now),
-            Err(problem) => log::error!("levels: {}: {problem}; not kept for a restart", path.display()),
+    /// Whether the file is old and says anything but `normal`.
+    fn is_rewrite_due(&self, now: f64) -> bool {
+        if !self.parts.level_file.is_rewrite_due(now) {
+            return false;
         }
+        let counts = self.with_monitor(|monitor, _| monitor.levels().level_counts());
+        counts.unwrap_or_default() != LevelCounts::default()
     }
 
-    /// What an older process left. A file that can't be read is no reason not to serve.
-    fn read(&self) -> Option<Carry> {
-        let path = self.path.as_ref()?;
-        let read =
-            std::fs::read(path).and_then(|text| serde_json::from_slice(&text).map_err(io::Error::from));
-        match read {
-            Ok(carry) => Some(carry),
-            Err(problem) if problem.kind() == io::ErrorKind::NotFound => None,
-            Err(problem) => {
-                log::error!("levels: {}: {problem}; begun at normal", path.display());
-                None
-            }
+    fn save(&self, now: f64) {
+        if !self.parts.level_file.is_kept() {
+            return;
+        }
+        if let Some(state) = self.with_monitor(|monitor, now| monitor.levels().save(now)) {
+            self.parts.level_file.save(now, &state);
         }
     }
 
-    /// The other process of this head has changed a pin.
-    pub fn pins_changed(&self) {
-        let Some(carry) = self.read() else { return };
-        let changes =
-            self.dispatcher.monitored(|monitor, now| monitor.governor_mut().follow_pins(now, &carry));
-        self.note(&changes.unwrap_or_default());
+    /// Takes over an override that the other process of this head has set or released.
+    pub fn reload_overrides(&self) {
+        let Some(saved) = self.parts.level_file.load() else { return };
+        let transitions =
+            self.with_monitor(|monitor, now| monitor.levels_mut().follow_overrides(now, &saved));
+        self.handle_transitions(&transitions.unwrap_or_default());
     }
 
-    /// What operators are shown, as JSON; none where levels are off.
-    pub fn status(&self) -> Option<String> {
-        let status = self.dispatcher.monitored(|monitor, now| monitor.governor().status(now))?;
-        let text = serde_json::to_string_pretty(&status);
-        Some(text.map_or_else(|problem| format!("{{\"error\":\"{problem}\"}}\n"), |text| text + "\n"))
+    /// The body of `GET /ops/levels`; none where load shedding is off.
+    pub fn status_json(&self) -> Option<String> {
+        let status = self.with_monitor(|monitor, now| monitor.levels().status(now))?;
+        Some(match serde_json::to_string_pretty(&status) {
+            Ok(text) => text + "\n",
+            Err(error) => format!("{{\"error\":\"{error}\"}}\n"),
+        })
     }
 
-    /// Holds a level for an operator; none where levels are off.
-    pub fn pin(&self, hold: &Hold) -> Option<Result<Change, PinError>> {
-        let pinned = self.dispatcher.monitored(|monitor, now| {
-            let governor = monitor.governor_mut();
-            let scope = governor.scope(&hold.scope)?;
-            governor.pin(now, scope, &hold.level, hold.seconds, &hold.who, &hold.why)
-        });
-        self.called(pinned)
+    /// Sets a level for an operator; `scope` is `head` or a zone's name. None where load shedding is off.
+    pub fn set_override(
+        &self,
+        scope: &str,
+        request: &OverrideRequest,
+    ) -> Option<Result<LevelTransition, OverrideError>> {
+        let result = self.with_monitor(|monitor, now| {
+            let levels = monitor.levels_mut();
+            let scope = levels.scope(scope)?;
+            levels.set_override(now, scope, request)
+        })?;
+        self.apply_override(&result);
+        Some(result)
     }
 
-    /// Ends a hold before its time; none where levels are off.
-    pub fn release(&self, scope: &str, who: &str, why: &str) -> Option<Result<Change, PinError>> {
-        let released = self.dispatcher.monitored(|monitor, now| {
-            let governor = monitor.governor_mut();
-            let scope = governor.scope(scope)?;
-            governor.release(now, scope, who, why)
-        });
-        self.called(released)
+    /// Ends an override before it expires; `scope` is `head` or a zone's name. None where load shedding is off.
+    pub fn release_override(
+        &self,
+        scope: &str,
+        note: &OperatorNote,
+    ) -> Option<Result<LevelTransition, OverrideError>> {
+        let result = self.with_monitor(|monitor, now| {
+            let levels = monitor.levels_mut();
+            let scope = levels.scope(scope)?;
+            levels.release_override(now, scope, note)
+        })?;
+        self.apply_override(&result);
+        Some(result)
     }
 
-    /// An operator's call is saved before it is answered, and the module hears of it at once.
-    fn called(&self, done: Option<Result<Change, PinError>>) -> Option<Result<Change, PinError>> {
-        if let Some(Ok(change)) = &done {
-            self.note(std::slice::from_ref(change));
-            self.save(self.dispatcher.clock().now());
-            self.dispatcher.apply_level();
+    /// Saves an operator's change before it is answered, and notifies the scheduler at once.
+    fn apply_override(&self, result: &Result<LevelTransition, OverrideError>) {
+        if let Ok(transition) = result {
+            self.handle_transitions(std::slice::from_ref(transition));
+            self.save(self.now());
+            self.parts.dispatcher.apply_level();
         }
-        done
     }
 }
--- a/src/shedding/monitor.rs
+++ b/src/shedding/monitor.rs
@@ -1,334 +1,314 @@
-//! Watches what the decision module hears and says, and keeps the levels of reduced service by it. It decides on
-//! levels alone, through `flaxgap_load_shedding`; it reads no clock and holds nothing of a request past its end.
+//! Measures the signals of load shedding from the events and actions that pass between dispatcher and scheduler, and
+//! has the levels evaluated. It decides nothing itself, reads no clock, and keeps nothing of a request past its end.
 
 use crate::scheduler::{
     Action, Admission, AttemptOutcome, ClassId, Endpoint, Event, NodeId, NodeState, RequestId,
-    ReservedWorkStats, SchedulerSettings, SheddingLevel, UpdateKind, VolumeId, ZoneId,
+    ReservedWorkStats, SchedulerSettings, SheddingLevel, UpdateKind, ZoneId,
 };
-use flaxgap_load_shedding::estimate::{End, Lag, Silence, Sliding};
-use flaxgap_load_shedding::governor::Effect;
-use flaxgap_load_shedding::report::Change;
-use flaxgap_load_shedding::settings::{Pass as Lets, Passes};
-use flaxgap_load_shedding::{Governor, Of, Scope, Signal};
+use crate::shedding::pending_requests::PendingRequests;
+use crate::shedding::reserved_work::{ReservedWork, sliding_sums};
+use crate::shedding::usage_reports::UsageReports;
+use flaxgap_load_shedding::level_manager::EffectiveAdmission;
+use flaxgap_load_shedding::measurement::node_silence::{AttemptEnd, NodeSilence};
+use flaxgap_load_shedding::measurement::sliding_sums::SlidingSums;
+use flaxgap_load_shedding::report::LevelTransition;
+use flaxgap_load_shedding::settings::{Admission as LevelAdmission, AdmissionTable};
+use flaxgap_load_shedding::{LevelManager, Scope, SheddingSettings, Signal};
 use std::collections::{BTreeMap, HashMap};
 
-/// Seconds that what is known of a volume's figure, or of a request that never ended, is kept.
-const MEMORY: f64 = 60.0;
-/// Seconds that a report's own stamp may be ahead of the clock.
-const TOLERANCE: f64 = 0.5;
-/// Steps of a sliding span.
-const STEPS: f64 = 8.0;
-/// Change of the earliest end that the module is told of, in seconds.
-const UNTIL_MOVES: f64 = 0.5;
+/// Seconds after which an attempt whose end was never seen is forgotten.
+const ATTEMPT_FORGOTTEN_AFTER_S: f64 = 120.0;
+/// Change of the earliest end that the scheduler is notified of, in seconds: clients' `Retry-After` follows it.
+const EARLIEST_END_TOLERANCE_S: f64 = 0.5;
 
-/// A request in hand.
-struct Open {
-    taken: f64,
-    wait: f64,
-    volume: VolumeId,
-    sent: bool,
-    /// Data that pass on: its age says nothing of the head.
-    passes: bool,
-}
-
-/// Sums of one class and zone.
-struct Sums {
-    met: Sliding,
-    delay: Sliding,
-}
-
-/// What is measured outside the module.
+/// What is measured outside the scheduler.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gauges {
-    /// Part of the memory for bodies in use.
+pub struct ResourceGauges {
+    /// Fraction of the memory for bodies in use.
     pub memory: f64,
-    /// Part of the descriptors in use.
+    /// Fraction of the descriptors in use.
     pub descriptors: f64,
-    /// Seconds that the module has taken, since the start.
-    pub module: f64,
+    /// Seconds of a core that the scheduler has taken since the start.
+    pub scheduler_cpu_s: f64,
 }
 
-/// What a look brought.
+/// The result of an evaluation.
 #[derive(Debug, Default)]
-pub struct Looked {
+pub struct Evaluation {
     /// Levels that changed.
-    pub changes: Vec<Change>,
-    /// What the module has to be told.
-    pub level: Option<SheddingLevel>,
+    pub transitions: Vec<LevelTransition>,
+    /// The level that the scheduler has to be notified of, if it differs from the last.
+    pub level_update: Option<SheddingLevel>,
+}
+
+/// An attempt that a node has not answered yet.
+struct InFlightAttempt {
+    node: NodeId,
+    sent_at: f64,
+}
+
+/// The scheduler's CPU time at a moment.
+struct CpuSample {
+    at: f64,
+    spent_s: f64,
 }
 
 /// The monitor of one head.
 pub struct LoadMonitor {
-    governor: Governor,
-    aims: Vec<f64>,
-    most_held: usize,
-    silence: Silence,
-    lag: Lag,
+    levels: LevelManager,
+    pending: PendingRequests,
+    reserved_work: ReservedWork,
+    usage_reports: UsageReports,
+    /// The nodes that take requests.
     nodes: BTreeMap<NodeId, ZoneId>,
-    open: BTreeMap<RequestId, Open>,
-    out: HashMap<RequestId, (NodeId, f64)>,
-    figures: BTreeMap<VolumeId, (f64, f64)>,
-    known: BTreeMap<(Option<ZoneId>, ClassId), ReservedWorkStats>,
-    sums: BTreeMap<(Option<ZoneId>, usize), Sums>,
-    attempts: Sliding,
-    module: (f64, f64),
-    told: SheddingLevel,
+    node_silence: NodeSilence,
+    in_flight: HashMap<RequestId, InFlightAttempt>,
+    /// Attempts, and the requests of which they were the first.
+    attempts: SlidingSums,
+    last_cpu_sample: CpuSample,
+    /// What the scheduler was last notified of.
+    notified: SheddingLevel,
 }
 
 impl LoadMonitor {
-    /// A monitor of a head with these settings of the module.
-    pub fn new(governor: Governor, settings: &SchedulerSettings, now: f64) -> LoadMonitor {
-        let s = governor.settings();
-        let (silent_after, recent, span) = (s.silent_after, s.recent, s.span);
+    /// Creates the monitor of a head whose scheduler has these settings.
+    pub fn new(levels: LevelManager, scheduler: &SchedulerSettings, now: f64) -> LoadMonitor {
+        let settings = levels.settings();
+        let objectives_s = scheduler.classes.iter().map(|class| class.latency_objective_s).collect();
         LoadMonitor {
-            silence: Silence::new(silent_after, recent),
-            attempts: Sliding::new(span, span / STEPS),
-            governor,
-            aims: settings.classes.iter().map(|class| class.latency_objective_s).collect(),
-            most_held: settings.max_pending,
-            lag: Lag::new(TOLERANCE),
+            pending: PendingRequests::new(scheduler.max_pending),
+            reserved_work: ReservedWork::new(objectives_s),
+            usage_reports: UsageReports::new(),
             nodes: BTreeMap::new(),
-            open: BTreeMap::new(),
-            out: HashMap::new(),
-            figures: BTreeMap::new(),
-            known: BTreeMap::new(),
-            sums: BTreeMap::new(),
-            module: (now, 0.0),
-            told: SheddingLevel::default(),
+            node_silence: NodeSilence::new(settings.silent_after_s, settings.node_known_for_s),
+            in_flight: HashMap::new(),
+            attempts: sliding_sums(settings.span_s),
+            last_cpu_sample: CpuSample { at: now, spent_s: 0.0 },
+            notified: SheddingLevel::default(),
+            levels,
         }
     }
 
-    /// The levels themselves.
-    pub fn governor(&self) -> &Governor {
-        &self.governor
+    /// The levels.
+    pub fn levels(&self) -> &LevelManager {
+        &self.levels
     }
 
-    /// The same, for an operator's call. The next look tells the module what follows from it.
-    pub fn governor_mut(&mut self) -> &mut Governor {
-        &mut self.governor
+    /// The levels, for an operator's request. [`LoadMonitor::take_level_update`] tells what follows from it.
+    pub fn levels_mut(&mut self) -> &mut LevelManager {
+        &mut self.levels
     }
 
-    /// Requests in hand, for as long as the module holds them.
-    pub fn held(&self) -> usize {
-        self.open.len()
+    /// Requests that the scheduler holds.
+    pub fn pending_requests(&self) -> usize {
+        self.pending.len()
     }
 
-    /// Takes in what the module was told at `now`, and what it chose.
-    pub fn heed(&mut self, now: f64, events: &[Event], actions: &[Action]) {
+    /// Records what the scheduler was notified of at `now`, and what it decided.
+    pub fn record(&mut self, now: f64, events: &[Event], actions: &[Action]) {
         for event in events {
-            match event {
-                Event::EndpointUpdate { kind, endpoints: nodes } => self.list(*kind, nodes),
-                Event::RequestArrived(ask) => {
-                    let open = Open {
-                        taken: now,
-                        wait: ask.remaining_s,
-                        volume: ask.volume,
-                        sent: false,
-                        passes: false,
-                    };
-                    self.open.insert(ask.id, open);
-                }
-                Event::AttemptEnded { request, outcome, request_done: done, usage: used, .. } => {
-                    let end = match outcome {
-                        AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Rejected => {
-                            End::Answered
-                        }
-                        AttemptOutcome::Timeout | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
-                            End::Unanswered
-                        }
-                        AttemptOutcome::Cancelled | AttemptOutcome::NotSent => End::CalledOff,
-                    };
-                    if let Some((node, sent_at)) = self.out.remove(request) {
-                        self.silence.ended(now, node.0, sent_at, end);
-                    }
-                    if let (Some(used), Some(open)) = (used, self.open.get(request)) {
-                        let known = self.figures.insert(open.volume, (*used, now));
-                        if known.is_none_or(|(figure, _)| figure != *used) {
-                            self.lag.heard(now, None);
-                        }
-                    }
-                    if *done {
-                        self.open.remove(request);
-                    }
-                }
-                Event::StreamingStarted { request } => {
-                    self.open.get_mut(request).into_iter().for_each(|open| open.passes = true);
-                }
-                Event::ClientDisconnected { request } => _ = self.open.remove(request),
-                Event::HealthChecked { .. }
-                | Event::WakeUp
-                | Event::ProcessShareChanged { .. }
-                | Event::SheddingLevelChanged(_) => {}
-            }
+            self.record_event(now, event);
         }
         for action in actions {
-            match action {
-                Action::Send { request, node, .. } => {
-                    self.silence.sent(now, node.0);
-                    self.out.insert(*request, (*node, now));
-                    let first =
-                        self.open.get_mut(request).is_some_and(|o| !std::mem::replace(&mut o.sent, true));
-                    self.attempts.add(now, 1.0, f64::from(u8::from(first)));
+            self.record_action(now, action);
+        }
+    }
+
+    fn record_event(&mut self, now: f64, event: &Event) {
+        match event {
+            Event::EndpointUpdate { kind, endpoints } => self.update_nodes(*kind, endpoints),
+            Event::RequestArrived(request) => self.pending.add(now, request),
+            Event::AttemptEnded { request, outcome, request_done, usage, .. } => {
+                self.record_attempt_end(now, *request, *outcome);
+                if let (Some(usage), Some(volume)) = (usage, self.pending.volume(*request)) {
+                    self.usage_reports.record(now, volume, *usage);
+                }
+                if *request_done {
+                    self.pending.remove(*request);
                 }
-                Action::Reject { request, .. } | Action::Fail { request } => _ = self.open.remove(request),
-                _ => {}
             }
+            Event::StreamingStarted { request } => self.pending.set_streaming(*request),
+            Event::ClientDisconnected { request } => self.pending.remove(*request),
+            Event::HealthChecked { .. }
+            | Event::WakeUp
+            | Event::ProcessShareChanged { .. }
+            | Event::SheddingLevelChanged(_) => {}
+        }
+    }
+
+    fn record_action(&mut self, now: f64, action: &Action) {
+        match action {
+            Action::Send { request, node, .. } => self.record_send(now, *request, *node),
+            Action::Reject { request, .. } | Action::Fail { request } => self.pending.remove(*request),
+            _ => {}
+        }
+    }
+
+    fn record_send(&mut self, now: f64, request: RequestId, node: NodeId) {
+        self.node_silence.record_sent(now, node.0);
+        self.in_flight.insert(request, InFlightAttempt { node, sent_at: now });
+        let first_attempts = if self.pending.record_sent(request) { 1.0 } else { 0.0 };
+        self.attempts.add(now, 1.0, first_attempts);
+    }
+
+    fn record_attempt_end(&mut self, now: f64, request: RequestId, outcome: AttemptOutcome) {
+        if let Some(attempt) = self.in_flight.remove(&request) {
+            let end = attempt_end(outcome);
+            self.node_silence.record_end(now, attempt.node.0, attempt.sent_at, end);
         }
     }
 
-    fn list(&mut self, kind: UpdateKind, nodes: &[Endpoint]) {
+    fn update_nodes(&mut self, kind: UpdateKind, endpoints: &[Endpoint]) {
         if matches!(kind, UpdateKind::Snapshot | UpdateKind::CachedSnapshot) {
-            let listed: Vec<u64> = nodes.iter().map(|info| info.node.0).collect();
-            self.silence.keep(|node| listed.contains(&node));
+            let listed: Vec<u64> = endpoints.iter().map(|endpoint| endpoint.node.0).collect();
+            self.node_silence.retain_nodes(|node| listed.contains(&node));
             self.nodes.retain(|node, _| listed.contains(&node.0));
         }
-        for info in nodes {
-            match info.state {
+        for endpoint in endpoints {
+            match endpoint.state {
                 NodeState::Ready => {
-                    self.silence.listed(info.node.0, info.zone.0);
-                    self.nodes.insert(info.node, info.zone);
+                    self.node_silence.add_node(endpoint.node.0, endpoint.zone.0);
+                    self.nodes.insert(endpoint.node, endpoint.zone);
                 }
                 NodeState::Draining | NodeState::Gone => {
-                    self.silence.gone(info.node.0);
-                    self.nodes.remove(&info.node);
+                    self.node_silence.remove_node(endpoint.node.0);
+                    self.nodes.remove(&endpoint.node);
                 }
             }
         }
     }
 
-    /// A look, when one is due: reads everything, decides, and says what the module has to be told.
-    pub fn look(
+    /// Reads all signals and evaluates the levels, when that is due.
+    pub fn evaluate(
         &mut self,
         now: f64,
-        kept: &BTreeMap<(Option<ZoneId>, ClassId), ReservedWorkStats>,
-        gauges: Gauges,
-    ) -> Looked {
-        if now < self.governor.next_look() {
-            return Looked::default();
+        reserved_work: &BTreeMap<(Option<ZoneId>, ClassId), ReservedWorkStats>,
+        gauges: ResourceGauges,
+    ) -> Evaluation {
+        if now < self.levels.next_evaluation() {
+            return Evaluation::default();
         }
-        self.read_kept(now, kept);
-        self.read_load(now, gauges);
-        for (zone, hall) in self.silence.halls(now) {
-            if let Some(lost) = hall.lost_part() {
-                self.governor.read(Scope::Hall(zone), Signal::NodesLost, lost, now);
-            }
+        let span_s = self.levels.settings().span_s;
+        self.reserved_work.record(now, reserved_work, span_s);
+        self.reserved_work.read(now, &mut self.levels);
+        self.read_pending(now);
+        self.read_resources(now, gauges);
+        self.read_lost_nodes(now);
+        self.read_report_lag(now);
+        let transitions = self.levels.evaluate(now);
+        Evaluation { transitions, level_update: self.take_level_update(now) }
+    }
+
+    /// The level in force, if it differs from what the scheduler was last notified of.
+    pub fn take_level_update(&mut self, now: f64) -> Option<SheddingLevel> {
+        let level = shedding_level(self.levels.admission(now));
+        if !self.is_update(&level) {
+            return None;
         }
-        if let Some((lag, at)) = self.lag.reading(now) {
-            // The lag is known for as long as answers that should carry reports come.
-            let asked = self.figures.values().any(|(_, heard)| now - heard < MEMORY);
-            self.governor.read(Scope::Head, Signal::ReportLag, lag, if asked { now } else { at });
+        self.notified = level.clone();
+        Some(level)
+    }
+
+    fn is_update(&self, level: &SheddingLevel) -> bool {
+        let end_moved = (level.ends_at - self.notified.ends_at).abs() > EARLIEST_END_TOLERANCE_S;
+        level.admission != self.notified.admission
+            || level.zone_admission != self.notified.zone_admission
+            || level.is_shedding() && end_moved
+    }
+
+    /// Puts other settings in force; levels go on under them where they have the same name.
+    pub fn configure(&mut self, settings: SheddingSettings, now: f64) -> Vec<LevelTransition> {
+        self.reserved_work.clear_sums();
+        self.attempts = sliding_sums(settings.span_s);
+        self.node_silence = NodeSilence::new(settings.silent_after_s, settings.node_known_for_s);
+        for (node, zone) in &self.nodes {
+            self.node_silence.add_node(node.0, zone.0);
         }
-        let changes = self.governor.decide(now);
-        Looked { changes, level: self.moved(now) }
+        self.in_flight.clear();
+        self.levels.configure(settings, now)
     }
 
-    /// What the module has to be told, if it has not heard of it yet.
-    pub fn moved(&mut self, now: f64) -> Option<SheddingLevel> {
-        let level = level(self.governor.effect(now));
-        let moved = level.admission != self.told.admission
-            || level.zone_admission != self.told.zone_admission
-            || level.is_shedding() && (level.ends_at - self.told.ends_at).abs() > UNTIL_MOVES;
-        moved.then(|| {
-            self.told = level.clone();
-            level
-        })
+    fn read_head(&mut self, signal: Signal, value: f64, read_at: f64) {
+        self.levels.record_reading(Scope::Head, signal, value, read_at);
     }
 
-    /// Other settings hold from now on; levels go on under them where they have the same name.
-    pub fn configure(&mut self, settings: flaxgap_load_shedding::Settings, now: f64) -> Vec<Change> {
-        let (span, recent, silent_after) = (settings.span, settings.recent, settings.silent_after);
-        let changes = self.governor.configure(settings, now);
-        (self.sums, self.attempts) = (BTreeMap::new(), Sliding::new(span, span / STEPS));
-        self.silence = Silence::new(silent_after, recent);
-        self.nodes.iter().for_each(|(node, zone)| self.silence.listed(node.0, zone.0));
-        self.out.clear();
-        changes
+    fn read_pending(&mut self, now: f64) {
+        self.pending.forget_lost(now);
+        self.in_flight.retain(|_, attempt| now - attempt.sent_at <= ATTEMPT_FORGOTTEN_AFTER_S);
+        self.usage_reports.forget_old(now);
+        self.read_head(Signal::Pending, self.pending.fill_fraction(), now);
+        self.read_head(Signal::OldestPendingAge, self.pending.max_relative_age(now), now);
+        let min_requests = self.levels.settings().min_requests;
+        if let Some(attempts) = self.attempts.ratio(now, min_requests) {
+            self.read_head(Signal::Attempts, attempts, now);
+        }
     }
 
-    /// The aims of reserved work: of each hall, and over all that no hall's own level accounts for.
-    fn read_kept(&mut self, now: f64, kept: &BTreeMap<(Option<ZoneId>, ClassId), ReservedWorkStats>) {
-        let (span, least) = (self.governor.settings().span, self.governor.settings().least);
-        for ((zone, class), kept) in kept {
-            let known = self.known.insert((*zone, *class), *kept).unwrap_or_default();
-            let (met, all, delay) = (
-                kept.met_objective - known.met_objective,
-                kept.completed - known.completed,
-                kept.total_delay_s - known.total_delay_s,
-            );
-            if all == 0 {
-                continue;
-            }
-            let sums = self.sums.entry((*zone, class.0)).or_insert_with(|| Sums {
-                met: Sliding::new(span, span / STEPS),
-                delay: Sliding::new(span, span / STEPS),
-            });
-            sums.met.add(now, met as f64, all as f64);
-            sums.delay.add(now, delay, all as f64);
+    fn read_resources(&mut self, now: f64, gauges: ResourceGauges) {
+        self.read_head(Signal::Memory, gauges.memory, now);
+        self.read_head(Signal::Descriptors, gauges.descriptors, now);
+        let sample = CpuSample { at: now, spent_s: gauges.scheduler_cpu_s };
+        let last = std::mem::replace(&mut self.last_cpu_sample, sample);
+        if now > last.at {
+            let fraction = (gauges.scheduler_cpu_s - last.spent_s) / (now - last.at);
+            self.read_head(Signal::SchedulerCpu, fraction, now);
         }
-        // Of the head: met, delay and all, by class, over the halls without a level of their own at this moment.
-        let mut whole: BTreeMap<usize, (f64, f64, f64)> = BTreeMap::new();
-        for ((zone, class), sums) in &mut self.sums {
-            let ((met, all), (delay, _)) = (sums.met.sums(now), sums.delay.sums(now));
-            let aim = self.aims.get(*class).copied().unwrap_or(f64::INFINITY);
-            if let Some(zone) = zone.filter(|_| all >= least) {
-                let hall = Scope::Hall(zone.0);
-                self.governor.read(hall, Signal::Aims(Of::Class(*class)), met / all, now);
-                self.governor.read(hall, Signal::Delay(Of::Class(*class)), delay / all / aim, now);
-            }
-            if zone.is_none_or(|zone| !self.governor.reduced(zone.0)) {
-                let sum = whole.entry(*class).or_default();
-                *sum = (sum.0 + met, sum.1 + delay, sum.2 + all);
+    }
+
+    fn read_lost_nodes(&mut self, now: f64) {
+        for (zone, nodes) in self.node_silence.zones(now) {
+            if let Some(lost) = nodes.lost_fraction() {
+                self.levels.record_reading(Scope::Zone(zone), Signal::NodesLost, lost, now);
             }
         }
-        for (class, (met, delay, all)) in whole.into_iter().filter(|(_, sum)| sum.2 >= least) {
-            let aim = self.aims.get(class).copied().unwrap_or(f64::INFINITY);
-            self.governor.read(Scope::Head, Signal::Aims(Of::Class(class)), met / all, now);
-            self.governor.read(Scope::Head, Signal::Delay(Of::Class(class)), delay / all / aim, now);
-        }
     }
 
-    fn read_load(&mut self, now: f64, gauges: Gauges) {
-        let old = |taken: f64, wait: f64| now - taken > wait + MEMORY;
-        self.open.retain(|_, open| open.passes || !old(open.taken, open.wait));
-        self.out.retain(|_, (_, sent_at)| !old(*sent_at, MEMORY));
-        self.figures.retain(|_, (_, heard)| now - *heard < MEMORY);
-        let held = self.open.len() as f64 / self.most_held.max(1) as f64;
-        let waits = self.open.values().filter(|open| !open.passes);
-        let age = waits.map(|open| (now - open.taken) / open.wait.max(1e-3)).fold(0.0, f64::max);
-        let least = self.governor.settings().least;
-        let head = [(Signal::Held, held), (Signal::HeldAge, age)];
-        let machine = [(Signal::Memory, gauges.memory), (Signal::Descriptors, gauges.descriptors)];
-        for (signal, value) in head.into_iter().chain(machine) {
-            self.governor.read(Scope::Head, signal, value, now);
-        }
-        if let Some(attempts) = self.attempts.ratio(now, least) {
-            self.governor.read(Scope::Head, Signal::Attempts, attempts, now);
+    fn read_report_lag(&mut self, now: f64) {
+        if let Some(lag) = self.usage_reports.lag(now) {
+            self.read_head(Signal::ReportLag, lag.lag_s, lag.read_at);
         }
-        let (at, spent) = std::mem::replace(&mut self.module, (now, gauges.module));
-        if now > at {
-            self.governor.read(Scope::Head, Signal::ModuleCpu, (gauges.module - spent) / (now - at), now);
+    }
+}
+
+/// What an attempt's outcome tells of whether the node is alive.
+fn attempt_end(outcome: AttemptOutcome) -> AttemptEnd {
+    match outcome {
+        AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Rejected => AttemptEnd::Answered,
+        AttemptOutcome::Timeout | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
+            AttemptEnd::Unanswered
         }
+        AttemptOutcome::Cancelled | AttemptOutcome::NotSent => AttemptEnd::Cancelled,
     }
 }
 
-/// What the levels in force let pass, as the module is told it.
-fn level(effect: Effect) -> SheddingLevel {
-    let table = |passes: Passes| -> Vec<Vec<Admission>> {
-        let pass = |lets: Lets| match lets {
-            Lets::All => Admission::All,
-            Lets::Share => Admission::WithinQuota,
-            Lets::Reserve => Admission::WithinReserve,
-            Lets::Nothing => Admission::TrialOnly,
-        };
-        passes.0.into_iter().map(|plans| plans.into_iter().map(pass).collect()).collect()
-    };
+/// What the levels in force admit, as the scheduler is notified of it.
+fn shedding_level(admission: EffectiveAdmission) -> SheddingLevel {
+    let mut zone_admission = Vec::new();
+    for (zone, table) in admission.zones {
+        zone_admission.push((ZoneId(zone), scheduler_table(table)));
+    }
     SheddingLevel {
-        admission: table(effect.head),
-        zone_admission: effect
-            .halls
-            .into_iter()
-            .map(|(hall, passes)| (ZoneId(hall), table(passes)))
-            .collect(),
-        ends_at: effect.until,
+        admission: scheduler_table(admission.head),
+        zone_admission,
+        ends_at: admission.earliest_end,
+    }
+}
+
+fn scheduler_table(table: AdmissionTable) -> Vec<Vec<Admission>> {
+    let mut classes = Vec::new();
+    for plans in table.into_rows() {
+        classes.push(plans.into_iter().map(scheduler_admission).collect());
+    }
+    classes
+}
+
+/// The scheduler's word for an admission. The two are apart since neither crate may know the other; a case that is
+/// missing here does not compile.
+fn scheduler_admission(admission: LevelAdmission) -> Admission {
+    match admission {
+        LevelAdmission::All => Admission::All,
+        LevelAdmission::WithinQuota => Admission::WithinQuota,
+        LevelAdmission::WithinReserve => Admission::WithinReserve,
+        LevelAdmission::TrialOnly => Admission::TrialOnly,
     }
 }
--- a/tests/exclusions_file.rs
+++ b/tests/exclusions_file.rs
@@ -18,10 +18,10 @@
     let folder = folder("read");
     std::fs::write(folder.join("flaxgap-n0.bans"), STORED).expect("written");
     let exclusions = Exclusions::load(Some(&folder), "n0");
-    assert!(exclusions.holds("s-1") && exclusions.holds("s-4"));
-    assert!(!exclusions.holds("s-2"));
-    assert_eq!(exclusions.returned("s-2"), Some(1_764_667_000.5));
-    assert_eq!(exclusions.returned("s-1"), None);
+    assert!(exclusions.contains("s-1") && exclusions.contains("s-4"));
+    assert!(!exclusions.contains("s-2"));
+    assert_eq!(exclusions.readmitted_at("s-2"), Some(1_764_667_000.5));
+    assert_eq!(exclusions.readmitted_at("s-1"), None);
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
@@ -31,9 +31,9 @@
     let exclusions = Exclusions::load(Some(&folder), "n0");
     let now = 1_764_667_000.5;
     for name in ["s-4", "s-2", "s-1"] {
-        exclusions.set(name, true, now).expect("saved");
+        exclusions.exclude(name, now).expect("saved");
     }
-    exclusions.set("s-2", false, now).expect("saved");
+    exclusions.readmit("s-2", now).expect("saved");
     let written = std::fs::read_to_string(folder.join("flaxgap-n0.bans")).expect("a file");
     assert_eq!(written, STORED);
     std::fs::remove_dir_all(folder).expect("removed");
