--- a/crates/distribution/src/selection/ranking.rs
+++ b/crates/distribution/src/selection/ranking.rs
@@ -1,121 +1,105 @@
 //! The order in which a head prefers relays: by tiers of distance, and within a tier by rendezvous hashing (highest
-//! random weight) with XXH3-64. The loss of a relay moves only its own heads, and spreads them over the others.
+//! random weight) with XXH3-64. The loss of a relay moves only its own heads, and spreads them over the other relays.
 
+use super::relay_list::{Locality, RelayInfo};
 use std::cmp::Reverse;
-use std::collections::HashSet;
-use std::net::SocketAddr;
-use thiserror::Error;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Sets a relay's weight as a primary apart from its weight as a spare.
-const PRIMARY: &[u8] = b"primary";
-/// See [`PRIMARY`].
-const SPARE: &[u8] = b"spare";
-/// Ends each part of what is hashed; it stands in no UTF-8 text.
-const END: &[u8] = &[0xff];
+/// Hashed first in a relay's weight as a primary, so that it is independent of its weight as a spare.
+const PRIMARY_ROLE: &[u8] = b"primary";
+/// Hashed first in a relay's weight as a spare.
+const SPARE_ROLE: &[u8] = b"spare";
+/// Separates the hashed fields; the byte does not occur in UTF-8 text.
+const FIELD_SEPARATOR: &[u8] = &[0xff];
 
-/// Where a head stands.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Locality {
-    /// Its region.
-    pub region: String,
-    /// Its zone.
-    pub zone: String,
+/// The preferences of one head over a list of relays. Relays are indices into that list.
+#[derive(Debug)]
+pub(super) struct Ranking {
+    /// All relays as primaries, the best first.
+    primaries: Vec<usize>,
+    /// For each primary, its spares, the best first.
+    spares: Vec<Vec<usize>>,
 }
 
-/// One relay.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RelayInfo {
-    /// Its name, by which it is chosen: it keeps its heads when its address changes.
-    pub name: String,
-    /// Where it is reached. Relays with one IP address are taken to share a machine.
-    pub address: SocketAddr,
-    /// Its region.
-    pub region: String,
-    /// Its zone.
-    pub zone: String,
-}
+impl Ranking {
+    /// The preferences of a head.
+    pub(super) fn new(head_name: &str, locality: &Locality, relays: &[RelayInfo]) -> Ranking {
+        let spares = (0..relays.len()).map(|primary| rank_spares(head_name, locality, relays, primary));
+        Ranking { primaries: rank(head_name, locality, relays), spares: spares.collect() }
+    }
 
-/// Why a list of relays can't be used.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum RelayListError {
-    /// A relay has no name.
-    #[error("relay {place} has no name")]
-    NoName {
-        /// Its place in the list, from 0.
-        place: usize,
-    },
-    /// Two relays have one name.
-    #[error("relay {place}: the name {name} is in use")]
-    NameTwice {
-        /// The place of the later one.
-        place: usize,
-        /// The name.
-        name: String,
-    },
-    /// Two relays have one address.
-    #[error("relay {place}: the address {address} is in use")]
-    AddressTwice {
-        /// The place of the later one.
-        place: usize,
-        /// The address.
-        address: SocketAddr,
-    },
-}
+    /// All relays as primaries, the best first.
+    pub(super) fn primaries(&self) -> &[usize] {
+        &self.primaries
+    }
 
-/// Whether a list of relays can be used. An empty one can: its heads have no relay.
-pub fn validate(relays: &[RelayInfo]) -> Result<(), RelayListError> {
-    let (mut names, mut addresses) = (HashSet::new(), HashSet::new());
-    for (place, relay) in relays.iter().enumerate() {
-        if relay.name.is_empty() {
-            return Err(RelayListError::NoName { place });
-        }
-        if !names.insert(&relay.name) {
-            return Err(RelayListError::NameTwice { place, name: relay.name.clone() });
-        }
-        if !addresses.insert(relay.address) {
-            return Err(RelayListError::AddressTwice { place, address: relay.address });
-        }
+    /// The rank of a relay as a primary, from 0 for the best.
+    pub(super) fn rank_of(&self, relay: usize) -> usize {
+        self.primaries.iter().position(|ranked| *ranked == relay).unwrap_or(usize::MAX)
     }
-    Ok(())
-}
 
-fn weight(role: &[u8], head_name: &str, relay: &RelayInfo) -> u64 {
-    let mut hash = Xxh3Default::new();
-    for part in [role, head_name.as_bytes(), relay.name.as_bytes()] {
-        hash.update(part);
-        hash.update(END);
+    /// The best primary of the eligible relays, followed by the best eligible spare of that primary.
+    pub(super) fn best_pair(&self, is_eligible: impl Fn(usize) -> bool) -> Vec<usize> {
+        let Some(primary) = self.primaries.iter().copied().find(|relay| is_eligible(*relay)) else {
+            return Vec::new();
+        };
+        let mut pair = vec![primary];
+        pair.extend(self.spares[primary].iter().copied().find(|relay| is_eligible(*relay)));
+        pair
     }
-    hash.digest()
 }
 
-/// The relays' places in their list, the best first: those of the head's zone, then of its region, then the others.
+/// The indices of all relays as primaries, the best first: relays of the head's zone, then of its region, then the others.
 pub fn rank(head_name: &str, locality: &Locality, relays: &[RelayInfo]) -> Vec<usize> {
-    let tier = |relay: &RelayInfo| match relay.region == locality.region {
-        true if relay.zone == locality.zone => 0,
-        true => 1,
-        false => 2,
+    let tier = |relay: &RelayInfo| {
+        if relay.region != locality.region {
+            2
+        } else if relay.zone != locality.zone {
+            1
+        } else {
+            0
+        }
     };
-    sorted(relays, |relay| (tier(relay), Reverse(weight(PRIMARY, head_name, relay))))
+    sort_by_key(relays, |relay| (tier(relay), Reverse(weight(PRIMARY_ROLE, head_name, relay))))
 }
 
-/// The places of all relays but the primary, the best spare first: those of the head's region outside the primary's
+/// The indices of all relays but the primary, the best spare first: relays of the head's region outside the primary's
 /// zone, then in its zone, then of other regions, and last those on the primary's machine.
 pub fn rank_spares(head_name: &str, locality: &Locality, relays: &[RelayInfo], primary: usize) -> Vec<usize> {
-    let Some(held) = relays.get(primary) else { return vec![] };
-    let tier = |relay: &RelayInfo| match relay.region == locality.region {
-        _ if relay.address.ip() == held.address.ip() => 3,
-        true if relay.zone == held.zone && relay.region == held.region => 1,
-        true => 0,
-        false => 2,
-    };
-    let mut order = sorted(relays, |relay| (tier(relay), Reverse(weight(SPARE, head_name, relay))));
-    order.retain(|place| *place != primary);
+    let Some(primary_info) = relays.get(primary) else { return Vec::new() };
+    let tier = |relay: &RelayInfo| spare_tier(relay, primary_info, locality);
+    let mut order = sort_by_key(relays, |relay| (tier(relay), Reverse(weight(SPARE_ROLE, head_name, relay))));
+    order.retain(|relay| *relay != primary);
     order
 }
 
-fn sorted<K: Ord>(relays: &[RelayInfo], key: impl Fn(&RelayInfo) -> K) -> Vec<usize> {
+fn spare_tier(relay: &RelayInfo, primary: &RelayInfo, locality: &Locality) -> u8 {
+    let is_same_machine = relay.address.ip() == primary.address.ip();
+    let is_same_zone = relay.zone == primary.zone && relay.region == primary.region;
+    if is_same_machine {
+        3
+    } else if relay.region != locality.region {
+        2
+    } else if is_same_zone {
+        1
+    } else {
+        0
+    }
+}
+
+/// The rendezvous weight of a relay for a head in a role.
+fn weight(role: &[u8], head_name: &str, relay: &RelayInfo) -> u64 {
+    let mut hash = Xxh3Default::new();
+    for field in [role, head_name.as_bytes(), relay.name.as_bytes()] {
+        hash.update(field);
+        hash.update(FIELD_SEPARATOR);
+    }
+    hash.digest()
+}
+
+/// Indices sorted by a key; equal keys by name, so that the order is the same on every machine.
+fn sort_by_key<K: Ord>(relays: &[RelayInfo], key: impl Fn(&RelayInfo) -> K) -> Vec<usize> {
     let mut order: Vec<usize> = (0..relays.len()).collect();
-    order.sort_by_cached_key(|place| (key(&relays[*place]), relays[*place].name.clone()));
+    order.sort_by_cached_key(|index| (key(&relays[*index]), relays[*index].name.clone()));
     order
 }
--- a/crates/distribution/src/selection/search.rs
+++ b/crates/distribution/src/selection/search.rs
@@ -1,39 +1,40 @@
-//! Trying all relays in turn while none speaks.
+//! Round-robin search for a relay while none is reachable.
 
-/// A walk through the relays that begins again at its end.
+/// An endless round-robin over the relays.
 #[derive(Debug)]
-pub(super) struct Search {
+pub(super) struct RelaySearch {
     order: Vec<usize>,
-    place: usize,
-    next_at: f64,
+    next_index: usize,
+    next_attempt_at: f64,
 }
 
-impl Search {
-    /// Tries in this order, from a time on.
-    pub(super) fn new(order: Vec<usize>, next_at: f64) -> Search {
-        Search { order, place: 0, next_at }
+impl RelaySearch {
+    /// A search in this order whose first attempt is due at a time.
+    pub(super) fn new(order: Vec<usize>, first_attempt_at: f64) -> RelaySearch {
+        RelaySearch { order, next_index: 0, next_attempt_at: first_attempt_at }
     }
 
-    /// When the next try is due.
-    pub(super) fn next_at(&self) -> f64 {
-        self.next_at
+    /// When the next attempt is due.
+    pub(super) fn next_attempt_at(&self) -> f64 {
+        self.next_attempt_at
     }
 
-    /// The relay to try now, if one is due; the next follows after a pause. Who is passed over takes no turn.
+    /// The relay to try now, if an attempt is due; the next attempt follows after `interval_s`. Relays that are skipped
+    /// take no attempt.
     pub(super) fn next(
         &mut self,
         now: f64,
-        pause: f64,
-        is_passed_over: impl Fn(usize) -> bool,
+        interval_s: f64,
+        is_skipped: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        if now < self.next_at {
+        if now < self.next_attempt_at {
             return None;
         }
-        self.next_at = now + pause;
+        self.next_attempt_at = now + interval_s;
         for _ in 0..self.order.len() {
-            let relay = self.order[self.place];
-            self.place = (self.place + 1) % self.order.len();
-            if !is_passed_over(relay) {
+            let relay = self.order[self.next_index];
+            self.next_index = (self.next_index + 1) % self.order.len();
+            if !is_skipped(relay) {
                 return Some(relay);
             }
         }
--- a/crates/distribution/tests/fleet.rs
+++ b/crates/distribution/tests/fleet.rs
@@ -57,7 +57,7 @@
         let mut world = large(seed, 210, relays(1, 1, 1));
         world.kill(0, Death::Refuses);
         world.run_for(10.0);
-        assert!(world.heads.iter().all(|head| head.selection.reachable() == 0 && head.known() == 0));
+        assert!(world.heads.iter().all(|head| head.selection.reachable_relays() == 0 && head.known() == 0));
         world.revive(0);
         let took = world.run_until_holds(6.0, World::all_current);
         let relay = &world.relays[0];
@@ -84,7 +84,7 @@
     world.revive(0);
     world.run_for(6.0);
     assert_eq!(world.relays[0].sent_wholes.len(), before);
-    assert!(world.heads.iter().all(|head| head.selection.reachable() == 1));
+    assert!(world.heads.iter().all(|head| head.selection.reachable_relays() == 1));
     drain(&mut world, 7);
     world.run_until_holds(1.0, World::all_current);
 }
@@ -99,7 +99,7 @@
         let mut world = large(seed, HEADS, coming_relays());
         world.run_for(15.0);
         assert!(world.all_current());
-        assert!(world.heads.iter().all(|head| head.selection.reachable() == 2));
+        assert!(world.heads.iter().all(|head| head.selection.reachable_relays() == 2));
         let wholes: usize = world.relays.iter().map(|relay| relay.sent_wholes.len()).sum();
         let dead = seed as usize * 2 % 20;
         let death = if seed % 2 == 0 { Death::Refuses } else { Death::Silent };
@@ -112,7 +112,10 @@
             slowest = slowest.max(world.run_until_holds(6.0, World::all_current));
             world.run_until(died_at + (change + 1) as f64);
         }
-        assert!(world.heads.iter().all(|head| head.selection.reachable() == 2), "two again after 16 s");
+        assert!(
+            world.heads.iter().all(|head| head.selection.reachable_relays() == 2),
+            "two again after 16 s"
+        );
         assert_eq!(world.relays.iter().map(|relay| relay.sent_wholes.len()).sum::<usize>(), wholes);
         let (most, calls) = most_share_and_calls(&world, dead, died_at);
         println!(
@@ -175,7 +178,7 @@
         (0..20).for_each(|relay| world.kill(relay, Death::Silent));
         world.heads.iter_mut().for_each(|head| head.remembers(30));
         world.run_for(20.0);
-        assert!(world.heads.iter().all(|head| head.selection.reachable() == 0));
+        assert!(world.heads.iter().all(|head| head.selection.reachable_relays() == 0));
         assert!(world.heads.iter().all(|head| head.unreachable_since.is_some()));
         for relay in &world.relays {
             let steady = relay.asked.iter().filter(|at| **at >= world::START + 10.0).map(|at| (*at, 1));
@@ -186,8 +189,9 @@
         let back: Vec<usize> = if alone { vec![7] } else { (0..20).collect() };
         back.iter().for_each(|relay| world.revive(*relay));
         // The relay has its list within half a second and an answer.
-        let found = world
-            .run_until_holds(5.0, |world| world.heads.iter().all(|head| head.selection.reachable() >= 1));
+        let found = world.run_until_holds(5.0, |world| {
+            world.heads.iter().all(|head| head.selection.reachable_relays() >= 1)
+        });
         let most = if alone { 100.0 } else { 10.0 };
         let took = found + world.run_until_holds(most, World::all_current);
         back.iter().for_each(|relay| assert_bounds(&world.relays[*relay]));
@@ -247,7 +251,7 @@
                 state_at_heads(&world, "r1", 20 + minute).iter().all(|state| *state == Some(State::Ready))
             );
             for head in world.heads.iter().filter(|head| head.locality.region == "r1") {
-                assert_eq!(head.selection.reachable(), 0);
+                assert_eq!(head.selection.reachable_relays(), 0);
                 assert!(head.unreachable_since.is_some());
             }
             world.run_for(24.0);
--- a/crates/distribution/tests/moves.rs
+++ b/crates/distribution/tests/moves.rs
@@ -84,7 +84,7 @@
     for seed in 0..3000 {
         let mut world = small(seed);
         world.run_for(15.0);
-        assert!(world.heads.iter().all(|head| head.selection.reachable() == 2), "seed {seed}");
+        assert!(world.heads.iter().all(|head| head.selection.reachable_relays() == 2), "seed {seed}");
         // The list changes a few times between 1 s before and 13 s after the death, and at the moment itself.
         let death = if seed % 2 == 0 { Death::Refuses } else { Death::Silent };
         let died_at = world.now() + 1.0;
--- a/crates/distribution/tests/selection.rs
+++ b/crates/distribution/tests/selection.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use flaxgap_distribution::selection::{
-    Directive, Locality, LostReason, Pacing, RelayInfo, RelayListError, Selection, Slot, rank, rank_spares,
-    validate,
+    Directive, Locality, LostReason, RelayInfo, RelayListError, Selection, SelectionTiming, WatchId, rank,
+    rank_spares, validate,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use world::{coming_relays, localities};
@@ -24,11 +24,11 @@
     silent: bool,
     /// Each opening: when, and on which relay.
     tried: Vec<(f64, usize)>,
-    open: BTreeMap<Slot, usize>,
+    open: BTreeMap<WatchId, usize>,
     most_open: usize,
     least_open: usize,
     most_out: usize,
-    out: BTreeSet<Slot>,
+    out: BTreeSet<WatchId>,
 }
 
 impl Driver {
@@ -63,33 +63,33 @@
 
     fn direct(&mut self, directive: Directive) {
         match directive {
-            Directive::Open { slot, relay, at } => {
+            Directive::Open { watch_id, relay, at } => {
                 assert!(at <= self.now);
                 self.tried.push((self.now, relay));
                 if self.up.contains(&relay) {
-                    self.open.insert(slot, relay);
+                    self.open.insert(watch_id, relay);
                     self.most_open = self.most_open.max(self.open.len());
-                    self.selection.opened(slot, self.now);
+                    self.selection.watch_opened(watch_id, self.now);
                 } else if self.silent {
-                    self.out.insert(slot);
+                    self.out.insert(watch_id);
                 } else {
-                    self.selection.lost(slot, LostReason::Refused, self.now);
+                    self.selection.watch_lost(watch_id, LostReason::Unavailable, self.now);
                 }
             }
-            Directive::Close { slot } => {
-                self.open.remove(&slot);
-                self.out.remove(&slot);
+            Directive::Close { watch_id } => {
+                self.open.remove(&watch_id);
+                self.out.remove(&watch_id);
             }
         }
     }
 
     fn lose(&mut self, relay: usize, reason: LostReason) {
         self.up.remove(&relay);
-        let slots: Vec<Slot> =
-            self.open.iter().filter(|(_, held)| **held == relay).map(|(slot, _)| *slot).collect();
-        for slot in slots {
-            self.open.remove(&slot);
-            self.selection.lost(slot, reason, self.now);
+        let watch_ids: Vec<WatchId> =
+            self.open.iter().filter(|(_, held)| **held == relay).map(|(watch_id, _)| *watch_id).collect();
+        for watch_id in watch_ids {
+            self.open.remove(&watch_id);
+            self.selection.watch_lost(watch_id, reason, self.now);
         }
     }
 
@@ -98,7 +98,7 @@
     }
 
     fn primary(&self) -> usize {
-        self.selection.primary().and_then(|slot| self.selection.relay_of(slot)).expect("a primary")
+        self.selection.primary().and_then(|watch_id| self.selection.relay_of(watch_id)).expect("a primary")
     }
 }
 
@@ -114,14 +114,14 @@
         change(&mut relays[3], &first);
         validate(&relays)
     };
-    assert_eq!(spoil(|relay, _| relay.name.clear()), Err(RelayListError::NoName { place: 3 }));
+    assert_eq!(spoil(|relay, _| relay.name.clear()), Err(RelayListError::MissingName { index: 3 }));
     assert_eq!(
         spoil(|relay, first| relay.name.clone_from(&first.name)),
-        Err(RelayListError::NameTwice { place: 3, name: good[0].name.clone() })
+        Err(RelayListError::DuplicateName { index: 3, name: good[0].name.clone() })
     );
     assert_eq!(
         spoil(|relay, first| relay.address = first.address),
-        Err(RelayListError::AddressTwice { place: 3, address: good[0].address })
+        Err(RelayListError::DuplicateAddress { index: 3, address: good[0].address })
     );
 }
 
@@ -200,7 +200,7 @@
     for seed in 0..50 {
         let relays = coming_relays();
         let mut head = Driver::new(selection("head-1", relays.clone(), seed), 0..20);
-        assert_eq!(head.selection.reachable(), 0);
+        assert_eq!(head.selection.reachable_relays(), 0);
         head.run(1.01);
         let best = rank("head-1", &Locality { region: "r0".into(), zone: "z0".into() }, &relays)[0];
         assert_eq!(head.primary(), best);
@@ -223,8 +223,8 @@
         head.run(12.0);
         let (lost, spare) =
             (head.primary(), *head.held().iter().find(|r| **r != head.primary()).expect("two"));
-        head.lose(lost, LostReason::Broke);
-        assert_eq!((head.primary(), head.selection.reachable()), (spare, 1));
+        head.lose(lost, LostReason::ConnectionLost);
+        assert_eq!((head.primary(), head.selection.reachable_relays()), (spare, 1));
         (head.least_open, head.tried) = (usize::MAX, vec![]);
         let lost_at = head.now;
         head.run(10.01);
@@ -250,7 +250,7 @@
         let mut head = Driver::new(selection("head-1", coming_relays(), seed), 0..20);
         head.run(12.0);
         let (lost, before) = (head.primary(), head.held());
-        head.lose(lost, LostReason::Broke);
+        head.lose(lost, LostReason::ConnectionLost);
         head.run(15.0);
         head.up.insert(lost);
         let back_at = head.now;
@@ -273,7 +273,7 @@
     let mut head = Driver::new(selection("head-1", coming_relays(), 5), 0..20);
     head.run(12.0);
     let lost = head.primary();
-    head.lose(lost, LostReason::Broke);
+    head.lose(lost, LostReason::ConnectionLost);
     head.run(3600.0);
     let tries: Vec<f64> = head.tried.iter().filter(|(_, relay)| *relay == lost).map(|(at, _)| *at).collect();
     assert!((20..=100).contains(&tries.len()), "{} tries in an hour", tries.len());
@@ -291,7 +291,7 @@
             let mut head = Driver::new(selection("head-1", relays, seed), []);
             head.silent = seed % 2 == 0;
             head.run(30.0 + seed as f64 / 7.0);
-            assert_eq!(head.selection.reachable(), 0);
+            assert_eq!(head.selection.reachable_relays(), 0);
             assert!(head.most_out <= 6, "{} out", head.most_out);
             for relay in 0..count {
                 let tries: Vec<f64> =
@@ -315,7 +315,7 @@
 fn a_head_without_relays_does_nothing() {
     let mut head = Driver::new(selection("head-1", vec![], 1), []);
     head.run(30.0);
-    assert_eq!((head.selection.reachable(), head.tried.len()), (0, 0));
+    assert_eq!((head.selection.reachable_relays(), head.tried.len()), (0, 0));
 }
 
 /// Given one relay alone is up, when the head has it and all others fail, then it does not poll without a pause.
@@ -334,13 +334,13 @@
 fn a_busy_relay_is_asked_again_no_sooner_than_it_said() {
     let mut head = selection("head-1", world::relays(1, 1, 1), 3);
     let mut now = NOW;
-    let slot = loop {
-        if let Some(Directive::Open { slot, .. }) = head.poll(now).first() {
-            break *slot;
+    let watch_id = loop {
+        if let Some(Directive::Open { watch_id, .. }) = head.poll(now).first() {
+            break *watch_id;
         }
         now += 0.1;
     };
-    head.lost(slot, LostReason::Busy { retry_after_s: 7.0 }, now);
+    head.watch_lost(watch_id, LostReason::Overloaded { retry_after_s: 7.0 }, now);
     let told_at = now;
     while head.poll(now).is_empty() {
         now += 0.1;
@@ -356,25 +356,25 @@
     let mut head = Driver::new(selection("head-1", coming_relays(), 9), 0..20);
     head.run(12.0);
     let (primary, held) = (head.primary(), head.held());
-    head.lose(primary, LostReason::Ended);
+    head.lose(primary, LostReason::EndedByRelay);
     head.up.insert(primary);
     head.run(10.01);
     assert_eq!(head.held(), held);
     head.tried.clear();
-    head.lose(primary, LostReason::Ended);
+    head.lose(primary, LostReason::EndedByRelay);
     head.up.insert(primary);
-    let slot = loop {
+    let watch_id = loop {
         let opening = head.selection.poll(head.now).into_iter().find_map(|directive| match directive {
-            Directive::Open { slot, relay, .. } if relay == primary => Some(slot),
+            Directive::Open { watch_id, relay, .. } if relay == primary => Some(watch_id),
             _ => None,
         });
-        if let Some(slot) = opening {
-            break slot;
+        if let Some(watch_id) = opening {
+            break watch_id;
         }
         head.now += 0.1;
     };
-    head.selection.opened(slot, head.now);
-    head.selection.lost(slot, LostReason::Ended, head.now + 0.1);
+    head.selection.watch_opened(watch_id, head.now);
+    head.selection.watch_lost(watch_id, LostReason::EndedByRelay, head.now + 0.1);
     head.run(10.01);
     assert_ne!(head.tried[0].1, primary);
 }
@@ -395,10 +395,10 @@
     let directives = head.selection.replace_relays(relays.clone(), head.now).expect("relays");
     assert_eq!(directives.len(), 1);
     directives.into_iter().for_each(|directive| head.direct(directive));
-    assert_eq!(head.selection.reachable(), 1);
+    assert_eq!(head.selection.reachable_relays(), 1);
     assert_eq!(relays[head.primary()].name, kept_name);
     (head.open, head.up) =
-        (head.open.keys().map(|slot| (*slot, head.primary())).collect(), (0..19).collect());
+        (head.open.keys().map(|watch_id| (*watch_id, head.primary())).collect(), (0..19).collect());
     head.run(10.01);
     let spares =
         rank_spares("head-1", &Locality { region: "r0".into(), zone: "z0".into() }, &relays, head.primary());
@@ -413,8 +413,12 @@
 /// Guards against a pace that was changed without its page.
 #[test]
 fn the_paces_are_those_that_the_page_states() {
-    let pacing = Pacing::default();
-    assert!(pacing.sweep_s <= 4.0 && pacing.second_s == 10.0 && pacing.return_s == 60.0);
+    let timing = SelectionTiming::default();
+    assert!(
+        timing.search_sweep_s <= 4.0
+            && timing.second_watch_delay_s == 10.0
+            && timing.failback_delay_s == 60.0
+    );
 }
 
 /// Given one relay that speaks and another that refuses each call, then the head is polled a few times a second at most,
@@ -425,11 +429,11 @@
     let (mut now, mut open, mut polls) = (NOW, None, 0u32);
     while now < NOW + 60.0 {
         for directive in selection.poll(now) {
-            let Directive::Open { slot, relay, .. } = directive else { continue };
+            let Directive::Open { watch_id, relay, .. } = directive else { continue };
             if *open.get_or_insert(relay) == relay {
-                selection.opened(slot, now);
+                selection.watch_opened(watch_id, now);
             } else {
-                selection.lost(slot, LostReason::Refused, now);
+                selection.watch_lost(watch_id, LostReason::Unavailable, now);
             }
         }
         polls += 1;
--- a/crates/distribution/tests/world/head.rs
+++ b/crates/distribution/tests/world/head.rs
@@ -3,7 +3,7 @@
 use super::discovery::{Discovery, Said, said};
 use super::{Connection, Happening, Plan, START, Word, World};
 use bytes::Bytes;
-use flaxgap_distribution::selection::{Directive, Locality, LostReason, Selection, Slot};
+use flaxgap_distribution::selection::{Directive, Locality, LostReason, Selection, WatchId};
 use flaxgap_distribution::update_filter::{UpdateFilter, Verdict};
 use flaxgap_membership::wire::List;
 use flaxgap_membership::{Change, Membership};
@@ -22,7 +22,7 @@
 pub struct Head {
     pub locality: Locality,
     pub selection: Selection,
-    watches: BTreeMap<Slot, Watch>,
+    watches: BTreeMap<WatchId, Watch>,
     known: u64,
     membership: Option<Membership>,
     listed: BTreeMap<String, Said>,
@@ -90,14 +90,14 @@
 
     /// The relays whose watches speak.
     pub fn relays(&self) -> Vec<usize> {
-        let slots = [self.selection.primary(), self.selection.spare()];
-        slots.into_iter().flatten().filter_map(|slot| self.selection.relay_of(slot)).collect()
+        let watch_ids = [self.selection.primary(), self.selection.spare()];
+        watch_ids.into_iter().flatten().filter_map(|watch_id| self.selection.relay_of(watch_id)).collect()
     }
 
     /// Takes in a line, and says whether it has to ask again.
-    fn take(&mut self, slot: Slot, text: &Bytes, now: f64, discovery: &Discovery) -> bool {
+    fn take(&mut self, watch_id: WatchId, text: &Bytes, now: f64, discovery: &Discovery) -> bool {
         let known = self.known();
-        let Some(watch) = self.watches.get_mut(&slot) else { return false };
+        let Some(watch) = self.watches.get_mut(&watch_id) else { return false };
         let list = match &self.membership {
             Some(_) => List::parse(text).expect("a list that can be read"),
             None => heading(text),
@@ -150,28 +150,30 @@
 impl World {
     pub(super) fn head_wakes(&mut self, head: usize) {
         let now = self.agenda.now;
-        let silence = self.heads[head].selection.pacing().silence_s;
-        let silent: Vec<Slot> = self.heads[head]
+        let silence = self.heads[head].selection.timing().idle_timeout_s;
+        let silent: Vec<WatchId> = self.heads[head]
             .watches
             .iter()
-            .filter(|(slot, watch)| self.heads[head].speaks(**slot) && now - watch.last_word >= silence)
-            .map(|(slot, _)| *slot)
+            .filter(|(watch_id, watch)| {
+                self.heads[head].speaks(**watch_id) && now - watch.last_word >= silence
+            })
+            .map(|(watch_id, _)| *watch_id)
             .collect();
-        for slot in silent {
-            self.head_loses(head, slot, LostReason::Silent);
+        for watch_id in silent {
+            self.head_loses(head, watch_id, LostReason::IdleTimeout);
         }
         self.head_asks_whole(head);
         for directive in self.heads[head].selection.poll(now) {
             match directive {
-                Directive::Open { slot, relay, at } => {
+                Directive::Open { watch_id, relay, at } => {
                     assert!(at <= now);
-                    self.head_opens(head, slot, relay);
+                    self.head_opens(head, watch_id, relay);
                 }
-                Directive::Close { slot } => self.head_closes(head, slot),
+                Directive::Close { watch_id } => self.head_closes(head, watch_id),
             }
         }
         let head_state = &mut self.heads[head];
-        head_state.unreachable_since = match head_state.selection.reachable() {
+        head_state.unreachable_since = match head_state.selection.reachable_relays() {
             0 => head_state.unreachable_since.or(Some(now)),
             _ => None,
         };
@@ -183,7 +185,7 @@
         }
     }
 
-    fn head_opens(&mut self, head: usize, slot: Slot, relay: usize) {
+    fn head_opens(&mut self, head: usize, watch_id: WatchId, relay: usize) {
         let known = self.heads[head].known();
         let watch = Watch {
             connection: Connection(0),
@@ -192,21 +194,21 @@
             last_word: self.agenda.now,
             asked_whole: false,
         };
-        self.heads[head].watches.insert(slot, watch);
-        self.head_asks(head, slot, known);
+        self.heads[head].watches.insert(watch_id, watch);
+        self.head_asks(head, watch_id, known);
     }
 
     /// Asks the watch's relay on a new connection.
-    fn head_asks(&mut self, head: usize, slot: Slot, since: u64) {
+    fn head_asks(&mut self, head: usize, watch_id: WatchId, since: u64) {
         let (connection, latency) = (self.agenda.connection(), self.agenda.latency());
-        let Some(watch) = self.heads[head].watches.get_mut(&slot) else { return };
+        let Some(watch) = self.heads[head].watches.get_mut(&watch_id) else { return };
         watch.intake.restart(since);
         watch.last_word = self.agenda.now;
         let old = std::mem::replace(&mut watch.connection, connection);
         let relay = watch.relay;
         let at = self.agenda.now + latency;
         self.agenda.at(at, Happening::RelayLeft { relay, connection: old });
-        self.agenda.at(at, Happening::RelayAsked { relay, head, slot, connection, since });
+        self.agenda.at(at, Happening::RelayAsked { relay, head, watch_id, connection, since });
     }
 
     /// Where a relay has been behind for too long it is asked for the whole list.
@@ -214,49 +216,49 @@
         let now = self.agenda.now;
         let watches = self.heads[head].watches.iter_mut();
         let due = watches.filter(|(_, watch)| !watch.asked_whole && watch.intake.needs_relist(now));
-        let due: Vec<Slot> = due
-            .map(|(slot, watch)| {
+        let due: Vec<WatchId> = due
+            .map(|(watch_id, watch)| {
                 watch.asked_whole = true;
-                *slot
+                *watch_id
             })
             .collect();
-        for slot in due {
-            self.head_asks(head, slot, 0);
+        for watch_id in due {
+            self.head_asks(head, watch_id, 0);
         }
     }
 
-    fn head_closes(&mut self, head: usize, slot: Slot) {
+    fn head_closes(&mut self, head: usize, watch_id: WatchId) {
         let latency = self.agenda.latency();
-        if let Some(watch) = self.heads[head].watches.remove(&slot) {
+        if let Some(watch) = self.heads[head].watches.remove(&watch_id) {
             let (relay, connection) = (watch.relay, watch.connection);
             self.agenda.at(self.agenda.now + latency, Happening::RelayLeft { relay, connection });
         }
     }
 
-    fn head_loses(&mut self, head: usize, slot: Slot, reason: LostReason) {
-        self.head_closes(head, slot);
-        self.heads[head].selection.lost(slot, reason, self.agenda.now);
+    fn head_loses(&mut self, head: usize, watch_id: WatchId, reason: LostReason) {
+        self.head_closes(head, watch_id);
+        self.heads[head].selection.watch_lost(watch_id, reason, self.agenda.now);
     }
 
-    pub(super) fn head_hears(&mut self, head: usize, slot: Slot, connection: Connection, word: Word) {
+    pub(super) fn head_hears(&mut self, head: usize, watch_id: WatchId, connection: Connection, word: Word) {
         let now = self.agenda.now;
-        let Some(watch) = self.heads[head].watches.get_mut(&slot) else { return };
+        let Some(watch) = self.heads[head].watches.get_mut(&watch_id) else { return };
         if watch.connection != connection {
             return;
         }
         watch.last_word = now;
         match word {
-            Word::Lost(reason) => self.head_loses(head, slot, reason),
-            Word::Heartbeat if self.heads[head].selection.is_open(slot) => return,
-            Word::Heartbeat => self.heads[head].selection.opened(slot, now),
+            Word::Lost(reason) => self.head_loses(head, watch_id, reason),
+            Word::Heartbeat if self.heads[head].selection.is_open(watch_id) => return,
+            Word::Heartbeat => self.heads[head].selection.watch_opened(watch_id, now),
             Word::Text(text) => {
-                self.heads[head].selection.opened(slot, now);
-                let asks_again = self.heads[head].take(slot, &text, now, &self.discovery);
+                self.heads[head].selection.watch_opened(watch_id, now);
+                let asks_again = self.heads[head].take(watch_id, &text, now, &self.discovery);
                 let known = self.heads[head].known();
                 self.heads[head].reached.push((known, now));
                 if asks_again {
                     self.heads[head].asked_again += 1;
-                    self.head_asks(head, slot, known);
+                    self.head_asks(head, watch_id, known);
                 }
             }
         }
@@ -265,7 +267,7 @@
 }
 
 impl Head {
-    fn speaks(&self, slot: Slot) -> bool {
-        self.selection.is_open(slot)
+    fn speaks(&self, watch_id: WatchId) -> bool {
+        self.selection.is_open(watch_id)
     }
 }
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/world/mod.rs
@@ -13,7 +13,7 @@
 
 use bytes::Bytes;
 use flaxgap_distribution::replica::ReplicaLimits;
-use flaxgap_distribution::selection::{Locality, LostReason, RelayInfo, Slot};
+use flaxgap_distribution::selection::{Locality, LostReason, RelayInfo, WatchId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -42,8 +42,8 @@
 #[derive(Debug)]
 pub enum Happening {
     HeadWakes { head: usize },
-    HeadHears { head: usize, slot: Slot, connection: Connection, word: Word },
-    RelayAsked { relay: usize, head: usize, slot: Slot, connection: Connection, since: u64 },
+    HeadHears { head: usize, watch_id: WatchId, connection: Connection, word: Word },
+    RelayAsked { relay: usize, head: usize, watch_id: WatchId, connection: Connection, since: u64 },
     RelayLeft { relay: usize, connection: Connection },
     WatcherWakes { relay: usize, life: u64, connection: Connection },
     WholeSent { relay: usize, life: u64, ticket: flaxgap_distribution::snapshot_admission::SnapshotRequestId },
@@ -172,11 +172,11 @@
     fn happen(&mut self, happening: Happening) {
         match happening {
             Happening::HeadWakes { head } => self.head_wakes(head),
-            Happening::HeadHears { head, slot, connection, word } => {
-                self.head_hears(head, slot, connection, word);
+            Happening::HeadHears { head, watch_id, connection, word } => {
+                self.head_hears(head, watch_id, connection, word);
             }
-            Happening::RelayAsked { relay, head, slot, connection, since } => {
-                self.relay_asked(relay, head, slot, connection, since);
+            Happening::RelayAsked { relay, head, watch_id, connection, since } => {
+                self.relay_asked(relay, head, watch_id, connection, since);
             }
             Happening::RelayLeft { relay, connection } => self.relay_left(relay, connection),
             Happening::WatcherWakes { relay, life, connection } => {
--- a/crates/distribution/tests/world/relay.rs
+++ b/crates/distribution/tests/world/relay.rs
@@ -3,7 +3,7 @@
 use super::{Agenda, Connection, Happening, Plan, UPSTREAM_HEARTBEAT_S, Word, World};
 use bytes::Bytes;
 use flaxgap_distribution::replica::{Replica, ReplicaLimits, ReplicaStatus};
-use flaxgap_distribution::selection::{LostReason, RelayInfo, Slot};
+use flaxgap_distribution::selection::{LostReason, RelayInfo, WatchId};
 use flaxgap_distribution::snapshot_admission::{
     SnapshotAdmission, SnapshotDecision, SnapshotLimits, SnapshotRequestId,
 };
@@ -25,7 +25,7 @@
 
 struct Served {
     head: usize,
-    slot: Slot,
+    watch_id: WatchId,
     watcher: Watcher,
     ticket: Option<SnapshotRequestId>,
     /// What is sent arrives in its order.
@@ -130,8 +130,8 @@
         state.sending.clear();
         for (connection, served) in std::mem::take(&mut state.served) {
             if death == Death::Refuses {
-                let word = Word::Lost(LostReason::Broke);
-                self.say(relay, connection, served.head, served.slot, served.arrives, word);
+                let word = Word::Lost(LostReason::ConnectionLost);
+                self.say(relay, connection, served.head, served.watch_id, served.arrives, word);
             }
         }
     }
@@ -192,7 +192,7 @@
         &mut self,
         relay: usize,
         head: usize,
-        slot: Slot,
+        watch_id: WatchId,
         connection: Connection,
         since: u64,
     ) {
@@ -208,11 +208,11 @@
         match state.death {
             Some(Death::Silent) => {}
             _ if refused => {
-                self.say(relay, connection, head, slot, now, Word::Lost(LostReason::Refused));
+                self.say(relay, connection, head, watch_id, now, Word::Lost(LostReason::Unavailable));
             }
             _ => {
                 let watcher = Watcher::new(since, state.replica.generation(), now);
-                let served = Served { head, slot, watcher, ticket: None, arrives: now, wakes_at: 0.0 };
+                let served = Served { head, watch_id, watcher, ticket: None, arrives: now, wakes_at: 0.0 };
                 state.served.insert(connection, served);
                 self.serve(relay, connection);
             }
@@ -244,13 +244,17 @@
         loop {
             let state = &mut self.relays[relay];
             let Some(served) = state.served.get_mut(&connection) else { return };
-            let (head, slot, arrives) = (served.head, served.slot, served.arrives);
+            let (head, watch_id, arrives) = (served.head, served.watch_id, served.arrives);
             let next = served.watcher.poll(&state.replica, now);
             let says = !matches!(next, WatchAction::Wait { .. } | WatchAction::End(_));
             state.sent_uncurrent += usize::from(says && state.replica.status(now) != ReplicaStatus::Current);
             match next {
-                WatchAction::Send(text) => self.say(relay, connection, head, slot, arrives, Word::Text(text)),
-                WatchAction::Heartbeat => self.say(relay, connection, head, slot, arrives, Word::Heartbeat),
+                WatchAction::Send(text) => {
+                    self.say(relay, connection, head, watch_id, arrives, Word::Text(text))
+                }
+                WatchAction::Heartbeat => {
+                    self.say(relay, connection, head, watch_id, arrives, Word::Heartbeat)
+                }
                 WatchAction::RequestSnapshot => self.ask_admission(relay, connection),
                 WatchAction::Wait { until } => {
                     if served.wakes_at <= now || until < served.wakes_at {
@@ -261,7 +265,14 @@
                     return;
                 }
                 WatchAction::End(_) => {
-                    self.say(relay, connection, head, slot, arrives, Word::Lost(LostReason::Ended));
+                    self.say(
+                        relay,
+                        connection,
+                        head,
+                        watch_id,
+                        arrives,
+                        Word::Lost(LostReason::EndedByRelay),
+                    );
                     return self.relay_left(relay, connection);
                 }
             }
@@ -274,7 +285,7 @@
         relay: usize,
         connection: Connection,
         head: usize,
-        slot: Slot,
+        watch_id: WatchId,
         arrives: f64,
         word: Word,
     ) {
@@ -283,7 +294,7 @@
             served.arrives = arrives;
         }
         if self.joined(&self.relays[relay].info.region, &self.heads[head].locality.region) {
-            self.agenda.at(arrives, Happening::HeadHears { head, slot, connection, word });
+            self.agenda.at(arrives, Happening::HeadHears { head, watch_id, connection, word });
         }
     }
 
@@ -302,9 +313,9 @@
                 }
             }
             SnapshotDecision::Rejected { retry_after_s } => {
-                let (head, slot, arrives) = (served.head, served.slot, served.arrives);
-                let word = Word::Lost(LostReason::Busy { retry_after_s });
-                self.say(relay, connection, head, slot, arrives, word);
+                let (head, watch_id, arrives) = (served.head, served.watch_id, served.arrives);
+                let word = Word::Lost(LostReason::Overloaded { retry_after_s });
+                self.say(relay, connection, head, watch_id, arrives, word);
                 self.relay_left(relay, connection);
             }
         }
@@ -336,7 +347,7 @@
         let state = &mut self.relays[relay];
         let connection = state.tickets[&ticket];
         let Some(served) = state.served.get_mut(&connection) else { return };
-        let (head, slot) = (served.head, served.slot);
+        let (head, watch_id) = (served.head, served.watch_id);
         let text = served.watcher.take_snapshot(&mut state.replica, now).expect("a list that can be written");
         let Some(text) = text else { return self.finish(relay, ticket) };
         state.sent_wholes.push((now, text.len()));
@@ -345,7 +356,7 @@
         let sent = now + text.len() as f64 / LINE_BYTES_PER_S;
         let life = state.life;
         self.agenda.at(sent, Happening::WholeSent { relay, life, ticket });
-        self.say(relay, connection, head, slot, sent, Word::Text(text));
+        self.say(relay, connection, head, watch_id, sent, Word::Text(text));
         self.serve(relay, connection);
     }
 
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -8,7 +8,7 @@
 use flaxgap::core::{Clock, Dispatcher, seconds};
 use flaxgap::discovery::EndpointDirectory;
 use flaxgap::discovery::relays::RelayFollower;
-use flaxgap::discovery::relays::settings::Distribution;
+use flaxgap::discovery::relays::settings::DistributionSettings;
 use flaxgap::discovery::schedule::PollSchedule;
 use flaxgap::exclusions::Exclusions;
 use flaxgap::metrics::counters::Counters;
@@ -104,7 +104,7 @@
             tasks.push(spawn_local(async move { directory.follow(source, knows).await }));
         } else {
             let (locality, relays) = relays_of(zone(number), &plan.relays);
-            let distribution = Distribution { locality, relays };
+            let distribution = DistributionSettings { locality, relays };
             let follower =
                 RelayFollower::new(directory.clone(), &format!("head-{number}"), &distribution, seed);
             let follower = follower.map_err(|problem| ScaleError::Settings(problem.to_string()))?;
--- a/src/config/operators_file.rs
+++ b/src/config/operators_file.rs
@@ -2,7 +2,7 @@
 //! that the head follows. Everything in it is off by default.
 
 use crate::config::WireSettings;
-use crate::discovery::relays::settings::{Distribution, DistributionError, DistributionFile};
+use crate::discovery::relays::settings::{DistributionError, DistributionFile, DistributionSettings};
 use crate::metrics::export::{Collectd, Graphite};
 use crate::plugin::PluginConfig;
 use flaxgap_load_shedding::settings::file::LevelsFile;
@@ -91,9 +91,10 @@
     }
 
     /// The relays that it has the head follow; none where the head follows discovery itself.
-    pub fn distribution(&self) -> Result<Option<Distribution>, OperatorsFileError> {
+    pub fn distribution(&self) -> Result<Option<DistributionSettings>, OperatorsFileError> {
         let (path, text) = &self.source;
-        let settings = self.distribution.as_ref().map(|file| Distribution::check(file, text)).transpose();
+        let settings =
+            self.distribution.as_ref().map(|file| DistributionSettings::check(file, text)).transpose();
         settings.map_err(|problem| OperatorsFileError::Distribution(path.clone(), problem))
     }
 
--- a/src/discovery/relays.rs
+++ b/src/discovery/relays.rs
@@ -1,79 +1,70 @@
-//! The head follows relays in place of discovery itself: watches on two of them feed one [`EndpointDirectory`]. Which relays
-//! those are, and when a watch is opened or given up, is decided by [`Selection`]; here its watches are run and what
-//! becomes of them is reported to it.
+//! A head that follows relays in place of discovery itself: watches on two of them feed one [`EndpointDirectory`].
+//! [`Selection`] decides which relays those are, and when a watch is opened or closed; [`RelayFollower`] runs the watches
+//! and reports their events to it.
 
 pub mod settings;
+mod watch;
 
-use crate::discovery::client::{CallError, CountedTcp, Subscription, Update};
-use crate::discovery::directory::{EndpointDirectory, Progress};
+use crate::discovery::directory::EndpointDirectory;
 use crate::discovery::schedule::PollSchedule;
-use crate::metrics::counters::Counters;
-use flaxgap_distribution::selection::{Directive, LostReason, RelayListError, Selection, Slot};
-use flaxgap_distribution::update_filter::Verdict;
-use settings::Distribution;
+use flaxgap_distribution::selection::{Directive, LostReason, RelayListError, Selection, WatchId};
+use settings::DistributionSettings;
 use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep_until;
+use watch::{RelayWatch, WatchEvent, WatchReport};
 
-/// Reports that were made and not yet taken in; watches wait when it is full.
-const REPORTS: usize = 8;
-/// A relay bears the calls of this head as a service that few share: the delays that spread a fleet's calls are the
-/// selection's.
+/// Capacity of the channel of reports; watches wait when it is full.
+const REPORT_CAPACITY: usize = 8;
+/// The poll schedule of a relay assumes this many callers: the delays that spread a fleet's calls are the selection's.
 const CALLERS: u32 = 1;
 
-/// What became of a watch.
-enum Report {
-    /// It has said its first word.
-    Opened,
-    /// It has come to its end.
-    Lost(LostReason),
-}
-
-/// The relays that the log last named.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Named {
+/// The relays in use, by their indices in the selection's list.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct RelaysInUse {
     primary: Option<usize>,
     spare: Option<usize>,
 }
 
-/// Keeps two watches on relays.
+/// Runs a head's watches on relays.
 pub struct RelayFollower {
     directory: Rc<EndpointDirectory>,
     selection: Selection,
     schedule: Rc<PollSchedule>,
-    watches: HashMap<Slot, AbortHandle>,
+    watches: HashMap<WatchId, AbortHandle>,
     tasks: JoinSet<()>,
-    sender: mpsc::Sender<(Slot, Report)>,
-    reports: mpsc::Receiver<(Slot, Report)>,
-    named: Option<Named>,
+    report_sender: mpsc::Sender<WatchReport>,
+    reports: mpsc::Receiver<WatchReport>,
+    /// The relays that were logged last; `None` before the first time.
+    logged_relays: Option<RelaysInUse>,
 }
 
 impl RelayFollower {
-    /// Follows nothing yet. The seed sets this head's delays apart from those of others.
+    /// A follower without a watch yet. The seed spreads this head's delays from those of other heads.
     pub fn new(
         directory: Rc<EndpointDirectory>,
         head_name: &str,
-        distribution: &Distribution,
+        distribution: &DistributionSettings,
         seed: u64,
     ) -> Result<RelayFollower, RelayListError> {
-        let (locality, relays) = (&distribution.locality, distribution.relays.clone());
-        let selection = Selection::new(head_name, locality, relays, seed, directory.clock().now())?;
-        let (sender, reports) = mpsc::channel(REPORTS);
+        let now = directory.clock().now();
+        let relays = distribution.relays.clone();
+        let selection = Selection::new(head_name, &distribution.locality, relays, seed, now)?;
+        let (report_sender, reports) = mpsc::channel(REPORT_CAPACITY);
         directory.set_relays_reachable(0);
         Ok(RelayFollower {
             directory,
             selection,
-            // Only an agent of the head's own is asked by the grace.
+            // Only an agent of the head's own is polled by the grace period.
             schedule: Rc::new(PollSchedule::new(CALLERS, seed, true, Duration::ZERO)),
             watches: HashMap::new(),
             tasks: JoinSet::new(),
-            sender,
+            report_sender,
             reports,
-            named: None,
+            logged_relays: None,
         })
     }
 
@@ -82,149 +73,104 @@
         loop {
             let now = self.directory.clock().now();
             for directive in self.selection.poll(now) {
-                self.obey(directive);
+                self.execute(directive);
             }
-            self.note_relays();
+            self.publish_relays_in_use();
             let next_poll = self.directory.clock().instant(self.selection.next_poll(now));
             tokio::select! {
-                // The sender lives in `self`, so there is always another.
-                Some((slot, report)) = self.reports.recv() => self.take_report(slot, report),
+                // The sender lives in `self`, so the channel never closes.
+                Some(report) = self.reports.recv() => self.handle_report(report),
                 Some(_) = self.tasks.join_next() => {}
                 () = sleep_until(next_poll) => {}
             }
         }
     }
 
-    fn obey(&mut self, directive: Directive) {
+    fn execute(&mut self, directive: Directive) {
         match directive {
-            Directive::Open { slot, relay, .. } => {
-                let Some(relay) = self.selection.relays().get(relay) else { return };
-                log::debug!("relays: {slot:?}: calling {} at {}", relay.name, relay.address);
-                let watch = Watch {
-                    slot,
-                    address: relay.address,
-                    directory: self.directory.clone(),
-                    schedule: self.schedule.clone(),
-                    reports: self.sender.clone(),
-                };
-                self.watches.insert(slot, self.tasks.spawn_local(watch.run()));
-            }
-            Directive::Close { slot } => {
-                if let Some(watch) = self.watches.remove(&slot) {
+            Directive::Open { watch_id, relay, .. } => self.open_watch(watch_id, relay),
+            Directive::Close { watch_id } => {
+                if let Some(watch) = self.watches.remove(&watch_id) {
                     watch.abort();
                 }
             }
         }
     }
 
-    fn take_report(&mut self, slot: Slot, report: Report) {
-        let now = self.directory.clock().now();
-        match report {
-            Report::Opened => self.selection.opened(slot, now),
-            Report::Lost(reason) => {
-                if let Some(relay) = self.selection.relay_of(slot) {
-                    log::info!("relays: {}: {reason:?}", self.selection.relays()[relay].name);
-                }
-                self.watches.remove(&slot);
-                self.selection.lost(slot, reason, now);
-            }
-        }
+    fn open_watch(&mut self, watch_id: WatchId, relay: usize) {
+        let Some(relay) = self.selection.relays().get(relay) else { return };
+        log::debug!(
+            "relays: opening watch, id={watch_id:?}, relay={}, address={}",
+            relay.name,
+            relay.address
+        );
+        let watch = RelayWatch {
+            watch_id,
+            address: relay.address,
+            directory: self.directory.clone(),
+            schedule: self.schedule.clone(),
+            reports: self.report_sender.clone(),
+        };
+        let task = self.tasks.spawn_local(watch.run());
+        self.watches.insert(watch_id, task);
     }
 
-    /// Shows which relays speak, and logs each change.
-    fn note_relays(&mut self) {
-        let relay = |slot: Option<Slot>| slot.and_then(|slot| self.selection.relay_of(slot));
-        let named = Named { primary: relay(self.selection.primary()), spare: relay(self.selection.spare()) };
-        if self.named.as_ref() == Some(&named) {
-            return;
-        }
-        self.directory.set_relays_reachable(self.selection.reachable());
-        let name = |relay: usize| self.selection.relays()[relay].name.as_str();
-        match (named.primary, named.spare) {
-            (Some(primary), Some(spare)) => {
-                log::info!("relays: primary is {}, spare is {}", name(primary), name(spare));
+    fn handle_report(&mut self, report: WatchReport) {
+        let now = self.directory.clock().now();
+        match report.event {
+            WatchEvent::Opened => self.selection.watch_opened(report.watch_id, now),
+            WatchEvent::Lost(reason) => {
+                self.log_lost(report.watch_id, reason);
+                self.watches.remove(&report.watch_id);
+                self.selection.watch_lost(report.watch_id, reason, now);
             }
-            (Some(primary), None) => log::info!("relays: primary is {}, without a spare", name(primary)),
-            // At the start none was called yet.
-            _ if self.named.is_none() => {}
-            _ => log::warn!(
-                "relays: no relay is reachable; the list is at version {}, told {:?} ago",
-                self.directory.version(),
-                self.directory.list_age()
-            ),
         }
-        self.named = Some(named);
     }
-}
 
-/// One watch on one relay, which is never called again by itself once it has ended.
-struct Watch {
-    slot: Slot,
-    address: SocketAddr,
-    directory: Rc<EndpointDirectory>,
-    schedule: Rc<PollSchedule>,
-    reports: mpsc::Sender<(Slot, Report)>,
-}
-
-impl Watch {
-    /// Takes in what the relay tells, until the watch is lost.
-    async fn run(self) {
-        let mut progress = Progress::since(self.address, self.directory.version());
-        let (mut subscription, mut opened) = (self.subscription(), false);
-        loop {
-            let update = self.directory.next_update(&mut subscription, &mut progress).await;
-            if matches!(update, Update::List(..) | Update::Alive) && !std::mem::replace(&mut opened, true) {
-                self.report(Report::Opened).await;
-            }
-            let lost = lost_reason(&update);
-            match self.evaluate(&update, &mut progress) {
-                Verdict::Apply => self.directory.take_update(update, &mut progress, &mut subscription),
-                Verdict::Duplicate => {}
-                Verdict::Rewatch => {
-                    progress.ask_again(self.directory.version());
-                    subscription = self.subscription();
-                }
-            }
-            if let Some(reason) = lost {
-                return self.report(Report::Lost(reason)).await;
-            }
+    fn log_lost(&self, watch_id: WatchId, reason: LostReason) {
+        if let Some(relay) = self.selection.relay_of(watch_id) {
+            log::info!("relays: watch lost, relay={}, reason={reason}", self.relay_name(relay));
         }
     }
 
-    fn subscription(&self) -> Subscription<'_, CountedTcp<Counters>> {
-        Subscription::without_retries(self.directory.dial(), self.address, &self.schedule)
+    fn relay_name(&self, relay: usize) -> &str {
+        &self.selection.relays()[relay].name
     }
 
-    /// Lists have to fit among those of the other watch; all else is taken as it comes.
-    fn evaluate(&self, update: &Update, progress: &mut Progress) -> Verdict {
-        match update {
-            Update::List(list, _) => progress.intake().evaluate(list.rev, list.all, self.directory.version()),
-            _ => Verdict::Apply,
+    /// Exports the number of reachable relays and logs the relays in use whenever they change.
+    fn publish_relays_in_use(&mut self) {
+        let relay_of = |watch_id: Option<WatchId>| self.selection.relay_of(watch_id?);
+        let in_use = RelaysInUse {
+            primary: relay_of(self.selection.primary()),
+            spare: relay_of(self.selection.spare()),
+        };
+        if self.logged_relays.as_ref() == Some(&in_use) {
+            return;
         }
+        self.directory.set_relays_reachable(self.selection.reachable_relays());
+        self.log_relays(&in_use);
+        self.logged_relays = Some(in_use);
     }
 
-    /// The follower that does not listen any more has dropped this watch, too.
-    async fn report(&self, report: Report) {
-        _ = self.reports.send((self.slot, report)).await;
+    fn log_relays(&self, in_use: &RelaysInUse) {
+        match (in_use.primary, in_use.spare) {
+            (Some(primary), Some(spare)) => {
+                let (primary, spare) = (self.relay_name(primary), self.relay_name(spare));
+                log::info!("relays: primary is {primary}, spare is {spare}");
+            }
+            (Some(primary), None) => {
+                log::info!("relays: primary is {}, without a spare", self.relay_name(primary));
+            }
+            // At the start no relay was called yet.
+            (None, _) if self.logged_relays.is_none() => {}
+            (None, _) => {
+                let version = self.directory.version();
+                let list_age = self.directory.list_age();
+                log::warn!("relays: no relay is reachable, list_version={version}, list_age={list_age:?}");
+            }
+        }
     }
 }
 
-/// Why a watch is lost by what it told, if it is. A call for the whole list that brought it is no loss.
-fn lost_reason(update: &Update) -> Option<LostReason> {
-    let (opened, problem) = match update {
-        Update::Silent(_) => return Some(LostReason::Silent),
-        Update::Lost => return Some(LostReason::Broke),
-        Update::Ended { opened, problem } => (*opened, problem.as_ref()?),
-        Update::List(..) | Update::Alive | Update::Unread(_) => return None,
-    };
-    Some(match problem {
-        CallError::Busy(pause) => LostReason::Busy { retry_after_s: pause.as_secs_f64() },
-        CallError::Silent(_) => LostReason::Silent,
-        CallError::Closed if opened => LostReason::Ended,
-        _ if opened => LostReason::Broke,
-        _ => LostReason::Refused,
-    })
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/discovery/relays/tests.rs
+++ b/src/discovery/relays/tests.rs
@@ -79,7 +79,7 @@
 
 /// Runs a watch on a relay that the test plays.
 fn with_watch<F: Future<Output = ()>>(
-    test: impl FnOnce(Rc<EndpointDirectory>, TcpListener, mpsc::Receiver<(Slot, Report)>) -> F,
+    test: impl FnOnce(Rc<EndpointDirectory>, TcpListener, mpsc::Receiver<WatchReport>) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -89,20 +89,20 @@
         let relays =
             vec![RelayInfo { name: "relay-1".into(), address, region: "r1".into(), zone: "a".into() }];
         let locality = Locality { region: "r1".into(), zone: "a".into() };
-        let distribution = Distribution { locality, relays };
+        let distribution = DistributionSettings { locality, relays };
         let mut follower = RelayFollower::new(directory.clone(), "n0", &distribution, 1)
             .expect("relays that can be followed");
         let later = directory.clock().now() + 2.0;
         let opened = follower.selection.poll(later).into_iter().find_map(|directive| match directive {
-            Directive::Open { slot, .. } => Some(slot),
+            Directive::Open { watch_id, .. } => Some(watch_id),
             Directive::Close { .. } => None,
         });
-        let watch = Watch {
-            slot: opened.expect("a watch"),
+        let watch = RelayWatch {
+            watch_id: opened.expect("a watch"),
             address,
             directory: directory.clone(),
             schedule: follower.schedule.clone(),
-            reports: follower.sender.clone(),
+            reports: follower.report_sender.clone(),
         };
         spawn_local(watch.run());
         test(directory, listener, follower.reports).await;
@@ -143,11 +143,11 @@
     with_watch(|_, listener, mut reports| async move {
         let mut call = Call::accept(&listener).await;
         call.say("").await;
-        let report = timeout(PATIENCE, reports.recv()).await.expect("in time").expect("a report").1;
-        assert!(matches!(report, Report::Opened));
+        let event = timeout(PATIENCE, reports.recv()).await.expect("in time").expect("a report").event;
+        assert!(matches!(event, WatchEvent::Opened));
         call.stream.write_all(b"0\r\n\r\n").await.expect("written");
-        let report = timeout(PATIENCE, reports.recv()).await.expect("in time").expect("a report").1;
-        assert!(matches!(report, Report::Lost(LostReason::Ended)));
+        let event = timeout(PATIENCE, reports.recv()).await.expect("in time").expect("a report").event;
+        assert!(matches!(event, WatchEvent::Lost(LostReason::EndedByRelay)));
         let again = timeout(Duration::from_millis(300), listener.accept()).await;
         assert!(again.is_err(), "the watch does not call again by itself");
     });
@@ -156,7 +156,7 @@
         let _ = stream.read(&mut [0; 1024]).await.expect("a head");
         let busy = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(busy).await.expect("written");
-        let report = timeout(PATIENCE, reports.recv()).await.expect("in time").expect("a report").1;
-        assert!(matches!(report, Report::Lost(LostReason::Busy { retry_after_s: 7.0 })));
+        let event = timeout(PATIENCE, reports.recv()).await.expect("in time").expect("a report").event;
+        assert!(matches!(event, WatchEvent::Lost(LostReason::Overloaded { retry_after_s: 7.0 })));
     });
 }
