--- a/src/bin/flaxgap-relay/http.rs
+++ b/src/bin/flaxgap-relay/http.rs
@@ -1,9 +1,10 @@
-//! The relay's calls: the list and watches on it in discovery's protocol, readiness and counters.
+//! The HTTP interface of a relay: the list and watches in the discovery protocol, readiness and counters.
 
-use crate::body::AnswerBody;
-use crate::link::{Link, LinkedStream};
+use crate::connection::{MonitoredStream, SessionLink};
 use crate::relay::{Relay, Unavailable};
-use crate::session::Kind;
+use crate::response_body::ResponseBody;
+use crate::session::Session;
+use crate::session_registry::SessionKind;
 use hyper::body::Incoming;
 use hyper::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::server::conn::http1;
@@ -11,153 +12,179 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::convert::Infallible;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How long a call may take to come.
-const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Path of the list and of watches.
+const TARGETS_PATH: &str = "/api/targets";
+/// Path of the readiness check.
+const READY_PATH: &str = "/-/ready";
+/// Path of the state and the counters.
+const COUNTERS_PATH: &str = "/-/counters";
+/// How long the head of a request may take to arrive.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after the system would not give a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Longest head of a call, and how much of an answer a connection takes ahead of what the socket has room for: a
-/// watcher that does not read is noticed by what stays behind that.
-const CONNECTION_BUFFER: usize = 16 * 1024;
-/// What the system may hold for one watcher, in bytes, of which it takes twice as much for its own use. Left to itself it
-/// holds some MiB for one that does not read. Over 30 ms between regions it lets 4 MB/s through.
-const SEND_BUFFER: usize = 128 * 1024;
-/// After so long without a word from a watcher's system that what was sent has come, its connection has failed.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Longest head of a request, and how much of a response a connection buffers beyond the socket, in bytes: a reader that
+/// takes nothing is noticed by what stays behind that.
+const CONNECTION_BUFFER_BYTES: usize = 16 * 1024;
+/// Send buffer of the system for one watcher, in bytes, of which it takes twice as much for its own use. Left to itself
+/// it grows to some MiB for a reader that takes nothing. Over 30 ms between regions it lets 4 MB/s through.
+const SEND_BUFFER_BYTES: usize = 128 * 1024;
+/// A connection whose sent data is not acknowledged for so long has failed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts callers for as long as it is polled.
-pub async fn listen(relay: &Rc<Relay>, listener: &TcpListener) {
+/// Accepts connections for as long as it is polled.
+pub async fn accept_connections(relay: &Rc<Relay>, listener: &TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(spawn_local(serve(relay.clone(), stream))),
-            Err(problem) => {
-                log::warn!("relay: accept: {problem}");
-                sleep(ACCEPT_PAUSE).await;
+            Ok((socket, _)) => drop(spawn_local(serve_connection(relay.clone(), socket))),
+            Err(error) => {
+                log::warn!("relay: accept failed, error={error}");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves one call on its connection.
-async fn serve(relay: Rc<Relay>, stream: TcpStream) {
-    let _open = relay.connection();
-    if let Err(problem) = prepare(&stream) {
-        log::debug!("relay: {problem}");
+/// Serves the one request of a connection.
+async fn serve_connection(relay: Rc<Relay>, socket: TcpStream) {
+    let _guard = relay.connections().open();
+    if let Err(error) = set_socket_options(&socket) {
+        log::debug!("relay: socket options not set, error={error}");
     }
-    let link = Rc::new(Link::default());
-    let call = service_fn(|request: Request<Incoming>| {
-        let answer = answer(&relay, &request, &link);
-        async move { Ok::<_, Infallible>(answer) }
+    let link = Rc::new(SessionLink::default());
+    let service = service_fn(|request: Request<Incoming>| {
+        let response = respond(&relay, &request, &link);
+        async move { Ok::<_, Infallible>(response) }
     });
-    let stream = LinkedStream { stream, link: link.clone() };
+    let stream = MonitoredStream::new(socket, link.clone());
     let mut http = http1::Builder::new();
-    http.keep_alive(false).max_buf_size(CONNECTION_BUFFER);
-    http.timer(TokioTimer::new()).header_read_timeout(CALL_TIMEOUT);
+    http.keep_alive(false).max_buf_size(CONNECTION_BUFFER_BYTES);
+    http.timer(TokioTimer::new()).header_read_timeout(REQUEST_TIMEOUT);
     tokio::select! {
-        ended = http.serve_connection(TokioIo::new(stream), call) => {
-            if let Err(problem) = ended {
-                log::debug!("relay: {problem}");
+        ended = http.serve_connection(TokioIo::new(stream), service) => {
+            if let Err(error) = ended {
+                log::debug!("relay: connection failed, error={error}");
             }
         }
-        () = link.handle.is_cut_off() => {}
+        () = link.handle().aborted() => {}
     }
 }
 
-fn prepare(stream: &TcpStream) -> std::io::Result<()> {
-    stream.set_nodelay(true)?;
-    socket2::SockRef::from(stream).set_send_buffer_size(SEND_BUFFER)?;
-    let limit = UNACKNOWLEDGED.as_millis() as u32;
-    rustix::net::sockopt::set_tcp_user_timeout(stream, limit)?;
+fn set_socket_options(socket: &TcpStream) -> io::Result<()> {
+    socket.set_nodelay(true)?;
+    socket2::SockRef::from(socket).set_send_buffer_size(SEND_BUFFER_BYTES)?;
+    let timeout_ms = TCP_USER_TIMEOUT.as_millis() as u32;
+    rustix::net::sockopt::set_tcp_user_timeout(socket, timeout_ms)?;
     Ok(())
 }
 
-fn answer(relay: &Rc<Relay>, request: &Request<Incoming>, link: &Link) -> Response<AnswerBody> {
+fn respond(relay: &Rc<Relay>, request: &Request<Incoming>, link: &SessionLink) -> Response<ResponseBody> {
     let path = request.uri().path();
-    if !matches!(path, "/api/targets" | "/-/ready" | "/-/counters") {
-        return text(relay, StatusCode::NOT_FOUND, "no such call\n".into());
+    if !matches!(path, TARGETS_PATH | READY_PATH | COUNTERS_PATH) {
+        return text_response(relay, StatusCode::NOT_FOUND, "no such call\n".into());
     }
     if request.method() != Method::GET {
-        let problem = format!("{} has no meaning here\n", request.method());
-        let mut answer = text(relay, StatusCode::METHOD_NOT_ALLOWED, problem);
-        answer.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
-        return answer;
+        return method_not_allowed(relay, request.method());
     }
     match path {
-        "/-/ready" => match relay.availability() {
-            Ok(()) => text(relay, StatusCode::OK, "ready\n".into()),
-            Err(problem) => unavailable(relay, &problem),
-        },
-        "/-/counters" => json(AnswerBody::text(relay.report(), relay.counters().clone())),
-        _ => targets(relay, request, link),
+        READY_PATH => ready_response(relay),
+        COUNTERS_PATH => {
+            json_response(ResponseBody::text(relay.status().to_json(), relay.counters().clone()))
+        }
+        _ => targets_response(relay, request, link),
     }
 }
 
-/// The list once, or a watch on it.
-fn targets(relay: &Rc<Relay>, request: &Request<Incoming>, link: &Link) -> Response<AnswerBody> {
-    let query = match Query::parse(request.uri().query().unwrap_or_default()) {
-        Ok(query) => query,
-        Err(problem) => return text(relay, StatusCode::BAD_REQUEST, format!("{problem}\n")),
-    };
-    let session = match query {
-        Query::Whole => relay.open(Kind::Whole, 0, &link.handle),
-        Query::Since(version) => relay.open(Kind::Watch, version, &link.handle),
+fn ready_response(relay: &Relay) -> Response<ResponseBody> {
+    match relay.availability() {
+        Ok(()) => text_response(relay, StatusCode::OK, "ready\n".into()),
+        Err(reason) => unavailable_response(relay, &reason),
+    }
+}
+
+/// The complete list once, or a watch.
+fn targets_response(
+    relay: &Rc<Relay>,
+    request: &Request<Incoming>,
+    link: &SessionLink,
+) -> Response<ResponseBody> {
+    let kind = match parse_targets_query(request.uri().query().unwrap_or_default()) {
+        Ok(kind) => kind,
+        Err(error) => return text_response(relay, StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
-    match session {
+    match Session::open(relay, kind, link.handle()) {
         Ok(session) => {
             link.set_session(&session);
-            json(AnswerBody::session(session, relay.counters().clone()))
+            json_response(ResponseBody::session(session, relay.counters().clone()))
         }
-        Err(problem) => {
-            relay.counters().refused.add(1);
-            unavailable(relay, &problem)
+        Err(reason) => {
+            relay.counters().rejected.add(1);
+            unavailable_response(relay, &reason)
         }
     }
 }
 
-/// What a call for the list asks for.
-enum Query {
-    Whole,
-    Since(u64),
+/// An invalid query of a request for the list; the client's fault.
+#[derive(Debug, Error)]
+enum QueryError {
+    #[error("since: {value} is no version")]
+    InvalidVersion {
+        value: String,
+        #[source]
+        source: std::num::ParseIntError,
+    },
 }
 
-impl Query {
-    /// Reads the query; a watch that names no version begins with the whole list.
-    fn parse(query: &str) -> Result<Query, String> {
-        let (mut follow, mut since) = (false, 0);
-        for (name, value) in form_urlencoded::parse(query.as_bytes()) {
-            match &*name {
-                "follow" => follow = value == "1",
-                "since" => since = value.parse().map_err(|_| format!("since: {value} is no version"))?,
-                _ => {}
-            }
+/// Parses the query of a request for the list. A watch without a version starts with the complete list.
+fn parse_targets_query(query: &str) -> Result<SessionKind, QueryError> {
+    let mut is_watch = false;
+    let mut since = 0;
+    for (name, value) in form_urlencoded::parse(query.as_bytes()) {
+        match &*name {
+            "follow" => is_watch = value == "1",
+            "since" => since = parse_version(&value)?,
+            _ => {}
         }
-        Ok(if follow { Query::Since(since) } else { Query::Whole })
     }
+    Ok(if is_watch { SessionKind::Watch { since } } else { SessionKind::List })
+}
+
+fn parse_version(value: &str) -> Result<u64, QueryError> {
+    value.parse().map_err(|source| QueryError::InvalidVersion { value: value.to_string(), source })
+}
+
+fn method_not_allowed(relay: &Relay, method: &Method) -> Response<ResponseBody> {
+    let text = format!("{method} has no meaning here\n");
+    let mut response = text_response(relay, StatusCode::METHOD_NOT_ALLOWED, text);
+    response.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
+    response
 }
 
-fn unavailable(relay: &Relay, problem: &Unavailable) -> Response<AnswerBody> {
-    let mut answer = text(relay, StatusCode::SERVICE_UNAVAILABLE, format!("{problem}\n"));
-    if let Some(after_s) = problem.retry_after() {
-        let seconds = HeaderValue::from(after_s.ceil() as u64);
-        answer.headers_mut().insert(RETRY_AFTER, seconds);
+fn unavailable_response(relay: &Relay, reason: &Unavailable) -> Response<ResponseBody> {
+    let mut response = text_response(relay, StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n"));
+    if let Some(retry_after_s) = reason.retry_after_s() {
+        let seconds = HeaderValue::from(retry_after_s.ceil() as u64);
+        response.headers_mut().insert(RETRY_AFTER, seconds);
     }
-    answer
+    response
 }
 
-fn json(body: AnswerBody) -> Response<AnswerBody> {
-    let mut answer = Response::new(body);
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+fn json_response(body: ResponseBody) -> Response<ResponseBody> {
+    let mut response = Response::new(body);
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
 }
 
-fn text(relay: &Relay, status: StatusCode, text: String) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::text(text, relay.counters().clone()));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    answer
+fn text_response(relay: &Relay, status: StatusCode, text: String) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::text(text, relay.counters().clone()));
+    *response.status_mut() = status;
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response
 }
--- a/src/bin/flaxgap-relay/main.rs
+++ b/src/bin/flaxgap-relay/main.rs
@@ -1,23 +1,26 @@
-//! A relay of the node list: it follows one source and serves the list to any number of heads, in the same protocol.
+//! A relay of the endpoint list: it watches one upstream and serves the list to any number of heads over the same
+//! protocol (list and watch).
 
-mod body;
+mod connection;
 mod counters;
 mod http;
-mod link;
+mod open_connections;
 mod relay;
+mod response_body;
+mod server;
 mod session;
+mod session_handle;
+mod session_registry;
 mod settings;
+mod snapshot_queue;
+mod status;
+mod upstream;
 
 use clap::Parser;
-use relay::Relay;
-use settings::Settings;
+use server::StartError;
+use settings::RelaySettings;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use tokio::net::{TcpListener, TcpSocket};
-use tokio::task::LocalSet;
-
-/// Connections that the system holds until they are accepted: heads that lose a relay call another together.
-const BACKLOG: u32 = 1024;
 
 /// Follows a source of the node list and serves it to heads.
 #[derive(Debug, Parser)]
@@ -37,41 +40,14 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     match start(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            log::error!("flaxgap-relay: {problem}");
+        Err(error) => {
+            log::error!("flaxgap-relay: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn start(arguments: &Arguments) -> Result<(), Box<dyn std::error::Error>> {
-    let settings = Settings::load(&arguments.config)?;
-    raise_descriptor_limit();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, async {
-        let listener = listen(&settings)?;
-        log::info!("relay: listening on {}", listener.local_addr()?);
-        log::info!("relay: {} follows {}", settings.name, settings.upstream);
-        Ok(Relay::new(settings).run(listener).await?)
-    })
-}
-
-fn listen(settings: &Settings) -> Result<TcpListener, String> {
-    let address = settings.listen;
-    let open = || {
-        let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-        socket.set_reuseaddr(true)?;
-        socket.bind(address)?;
-        socket.listen(BACKLOG)
-    };
-    open().map_err(|problem: std::io::Error| format!("listen on {address}: {problem}"))
-}
-
-/// Every watcher takes a descriptor, and the system's usual limit is 1,024.
-fn raise_descriptor_limit() {
-    let mut limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
-    limit.current = limit.maximum;
-    if let Err(problem) = rustix::process::setrlimit(rustix::process::Resource::Nofile, limit) {
-        log::warn!("relay: the limit on descriptors stays: {problem}");
-    }
+fn start(arguments: &Arguments) -> Result<(), StartError> {
+    let settings = RelaySettings::load(&arguments.config)?;
+    server::run(settings)
 }
--- a/src/bin/flaxgap-relay/relay.rs
+++ b/src/bin/flaxgap-relay/relay.rs
@@ -1,150 +1,97 @@
-//! The relay's state, its sessions, and its run from start to end. [`follow`] keeps the copy, [`whole_lists`] bounds what
-//! is sent of it as a whole.
-
-mod follow;
-mod whole_lists;
-
-use crate::counters::{Counters, Report};
-use crate::http;
-use crate::session::{Handle, Kind, Session};
-use crate::settings::Settings;
+//! The state that all parts of a relay share. Each field owns one concern; [`Relay`] joins them and says whether heads
+//! are served.
+
+use crate::counters::Counters;
+use crate::open_connections::OpenConnections;
+use crate::session_registry::SessionRegistry;
+use crate::settings::RelaySettings;
+use crate::snapshot_queue::SnapshotQueue;
+use crate::status::StatusReport;
 use flaxgap::core::Clock;
 use flaxgap_distribution::replica::{Replica, ReplicaLimits, ReplicaStatus};
-use flaxgap_distribution::snapshot_admission::{SnapshotAdmission, SnapshotLimits, SnapshotRequestId};
-use flaxgap_distribution::watcher::Watcher;
-use std::cell::{Cell, Ref, RefCell};
-use std::collections::{BTreeMap, HashMap};
+use flaxgap_distribution::snapshot_admission::SnapshotLimits;
+use std::cell::{Cell, Ref, RefCell, RefMut};
 use std::hash::{BuildHasher, RandomState};
-use std::io;
 use std::rc::Rc;
-use std::time::Duration;
 use thiserror::Error;
-use tokio::net::TcpListener;
-use tokio::signal::unix::{SignalKind, signal};
-use tokio::sync::Notify;
-use tokio::time::{Instant, timeout};
-
-/// How long connections may take to end after SIGTERM.
-const END_TIMEOUT: Duration = Duration::from_secs(2);
+use tokio::time::Instant;
 
-/// Why a call is answered with 503.
+/// Why a request is answered with 503.
 #[derive(Debug, Error)]
 pub enum Unavailable {
-    /// No list has come since the start.
+    /// No complete list has arrived since the start.
     #[error("no list yet")]
     Empty,
-    /// The lease has run out.
-    #[error("upstream was last heard {0:.1} s ago")]
-    Expired(f64),
-    /// So many watches stand already.
-    #[error("{0} watches stand, the most that the configuration lets")]
-    Full(usize),
-    /// Too many callers wait for the whole list.
-    #[error("too many wait for the whole list; come again in {after_s:.0} s")]
-    Busy {
-        /// In seconds.
-        after_s: f64,
+    /// The lease has expired.
+    #[error("upstream was last heard {silent_s:.1} s ago")]
+    LeaseExpired {
+        /// Seconds since the last message from upstream.
+        silent_s: f64,
     },
-    /// SIGTERM came.
+    /// The limit on watches is reached.
+    #[error("{max_watches} watches stand, the most that the configuration lets")]
+    TooManyWatches {
+        /// The limit.
+        max_watches: usize,
+    },
+    /// The queue of requests for the complete list is full.
+    #[error("too many wait for the whole list; come again in {retry_after_s:.0} s")]
+    Overloaded {
+        /// Delay before the client may retry, in seconds.
+        retry_after_s: f64,
+    },
+    /// The relay is shutting down.
     #[error("the relay ends")]
-    Ending,
+    ShuttingDown,
 }
 
 impl Unavailable {
-    /// After how many seconds the caller is to come again, where that is known.
-    pub fn retry_after(&self) -> Option<f64> {
+    /// The delay before the client may retry, in seconds, where it is known.
+    pub fn retry_after_s(&self) -> Option<f64> {
         match self {
-            Unavailable::Busy { after_s } => Some(*after_s),
+            Unavailable::Overloaded { retry_after_s } => Some(*retry_after_s),
             _ => None,
         }
     }
 }
 
-/// What all of a relay's parts share.
+/// The state of a relay.
 pub struct Relay {
-    settings: Settings,
+    settings: RelaySettings,
     clock: Clock,
     replica: RefCell<Replica>,
-    admission: RefCell<SnapshotAdmission>,
-    /// The admission has something new: a request, or a place that is free.
-    admission_changed: Notify,
-    /// Calls that are being answered from the copy, watches among them.
-    sessions: RefCell<HashMap<u64, (Kind, Rc<Handle>)>>,
-    watches: Cell<usize>,
-    tickets: RefCell<BTreeMap<SnapshotRequestId, Rc<Handle>>>,
-    began: Cell<u64>,
+    snapshots: SnapshotQueue,
+    sessions: SessionRegistry,
+    connections: Rc<OpenConnections>,
     counters: Rc<Counters>,
-    ending: Cell<bool>,
-    open_connections: Cell<usize>,
-    all_closed: Notify,
+    is_shutting_down: Cell<bool>,
 }
 
 impl Relay {
-    /// An empty relay.
-    pub fn new(settings: Settings) -> Rc<Relay> {
-        let limits = ReplicaLimits { slow_reader_s: settings.slow_reader_s, ..ReplicaLimits::default() };
-        let sends = SnapshotLimits { max_sending: settings.whole_sends, ..SnapshotLimits::default() };
+    /// A relay without a list.
+    pub fn new(settings: RelaySettings) -> Rc<Relay> {
+        let clock = Clock::start();
+        let counters = Rc::<Counters>::default();
+        let replica_limits =
+            ReplicaLimits { slow_reader_s: settings.slow_reader_s, ..ReplicaLimits::default() };
+        let snapshot_limits =
+            SnapshotLimits { max_sending: settings.max_snapshot_sends, ..SnapshotLimits::default() };
+        let snapshots = SnapshotQueue::new(snapshot_limits, random_seed(), clock, counters.clone());
         Rc::new(Relay {
-            clock: Clock::start(),
-            replica: RefCell::new(Replica::new(limits)),
-            admission: RefCell::new(SnapshotAdmission::new(sends, drawn_seed())),
-            admission_changed: Notify::new(),
-            sessions: RefCell::default(),
-            watches: Cell::new(0),
-            tickets: RefCell::default(),
-            began: Cell::new(0),
-            counters: Rc::default(),
-            ending: Cell::new(false),
-            open_connections: Cell::new(0),
-            all_closed: Notify::new(),
+            replica: RefCell::new(Replica::new(replica_limits)),
+            snapshots,
+            sessions: SessionRegistry::new(settings.max_watches),
+            connections: Rc::default(),
+            counters,
+            is_shutting_down: Cell::new(false),
+            clock,
             settings,
         })
     }
 
-    /// Runs until SIGTERM or SIGINT.
-    pub async fn run(self: Rc<Self>, listener: TcpListener) -> io::Result<()> {
-        let (mut terminate, mut interrupt) =
-            (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-        let mut report = signal(SignalKind::user_defined1())?;
-        let mut reload = signal(SignalKind::hangup())?;
-        let log_reports = async {
-            while report.recv().await.is_some() {
-                log::info!("relay: {}", self.report());
-            }
-        };
-        // Heads read their files again on SIGHUP; a relay must not end by a habit.
-        let refuse_reloads = async {
-            while reload.recv().await.is_some() {
-                log::warn!("relay: SIGHUP: another configuration takes a restart");
-            }
-        };
-        tokio::select! {
-            () = http::listen(&self, &listener) => {}
-            () = self.follow() => {}
-            () = self.admit() => {}
-            () = log_reports => {}
-            () = refuse_reloads => {}
-            _ = terminate.recv() => {}
-            _ = interrupt.recv() => {}
-        }
-        drop(listener);
-        self.end().await;
-        log::info!("relay: {}", self.report());
-        Ok(())
-    }
-
-    /// Ends every session; heads go to other relays.
-    async fn end(&self) {
-        self.ending.set(true);
-        self.wake_all();
-        let closed = async {
-            while self.open_connections.get() > 0 {
-                self.all_closed.notified().await;
-            }
-        };
-        if timeout(END_TIMEOUT, closed).await.is_err() {
-            log::warn!("relay: {} connections still open at the end", self.open_connections.get());
-        }
+    /// The configuration.
+    pub fn settings(&self) -> &RelaySettings {
+        &self.settings
     }
 
     /// Seconds of Unix time.
@@ -152,63 +99,86 @@
         self.clock.now()
     }
 
-    /// The instant of a time.
+    /// The instant of a time in seconds of Unix time.
     pub fn instant(&self, at: f64) -> Instant {
         self.clock.instant(at)
     }
 
-    /// The copy of the list.
+    /// The replica of the list.
     pub fn replica(&self) -> Ref<'_, Replica> {
         self.replica.borrow()
     }
 
-    /// What it counts.
+    /// The replica of the list, to change it.
+    pub fn replica_mut(&self) -> RefMut<'_, Replica> {
+        self.replica.borrow_mut()
+    }
+
+    /// The requests for the complete list.
+    pub fn snapshots(&self) -> &SnapshotQueue {
+        &self.snapshots
+    }
+
+    /// The sessions that are being served.
+    pub fn sessions(&self) -> &SessionRegistry {
+        &self.sessions
+    }
+
+    /// The open connections.
+    pub fn connections(&self) -> &Rc<OpenConnections> {
+        &self.connections
+    }
+
+    /// The counters.
     pub fn counters(&self) -> &Rc<Counters> {
         &self.counters
     }
 
-    /// Whether SIGTERM came.
-    pub fn is_ending(&self) -> bool {
-        self.ending.get()
+    /// Ends all sessions and rejects new ones.
+    pub fn begin_shutdown(&self) {
+        self.is_shutting_down.set(true);
+        self.sessions.wake_all();
     }
 
-    /// Whether heads are answered, and why not.
+    /// Whether the relay is shutting down.
+    pub fn is_shutting_down(&self) -> bool {
+        self.is_shutting_down.get()
+    }
+
+    /// Whether heads are served, or why not.
     pub fn availability(&self) -> Result<(), Unavailable> {
-        if self.is_ending() {
-            return Err(Unavailable::Ending);
+        if self.is_shutting_down() {
+            return Err(Unavailable::ShuttingDown);
         }
-        let (replica, now) = (self.replica(), self.now());
+        let replica = self.replica();
+        let now = self.now();
         match replica.status(now) {
             ReplicaStatus::Current => Ok(()),
             ReplicaStatus::Empty => Err(Unavailable::Empty),
             ReplicaStatus::Expired => {
-                let heard = replica.lease_expires_at().map_or(now, |end| end - replica.limits().lease_s);
-                Err(Unavailable::Expired(now - heard))
+                let last_contact =
+                    replica.lease_expires_at().map_or(now, |end| end - replica.limits().lease_s);
+                Err(Unavailable::LeaseExpired { silent_s: now - last_contact })
             }
         }
     }
 
-    /// A connection for as long as what is given lives.
-    pub fn connection(self: &Rc<Self>) -> OpenConnection {
-        self.open_connections.set(self.open_connections.get() + 1);
-        OpenConnection(self.clone())
-    }
-
-    /// The counters as JSON.
-    pub fn report(&self) -> String {
-        let (replica, counters) = (self.replica(), &self.counters);
-        let report = Report {
+    /// The state and the counters at this moment.
+    pub fn status(&self) -> StatusReport {
+        let replica = self.replica();
+        let counters = &self.counters;
+        StatusReport {
             name: self.settings.name.clone(),
             ready: self.availability().is_ok(),
             version: replica.version(),
             generation: replica.generation(),
             nodes: replica.node_count(),
-            watchers: self.watches.get(),
-            whole_sending: self.admission.borrow().sending(),
-            whole_waiting: self.admission.borrow().queued(),
+            watchers: self.sessions.watches(),
+            whole_sending: self.snapshots.sending(),
+            whole_waiting: self.snapshots.queued(),
             log_changes: replica.log().len(),
             log_bytes: replica.log().bytes(),
-            whole_sent: counters.whole_sent.get(),
+            whole_sent: counters.snapshots_sent.get(),
             resumed: counters.resumed.get(),
             changes: counters.changes.get(),
             bytes_sent: counters.bytes_sent.get(),
@@ -216,72 +186,13 @@
             heartbeats: counters.heartbeats.get(),
             slow_readers_ended: counters.slow_readers_ended.get(),
             lease_expired: counters.lease_expired.get(),
-            refused: counters.refused.get(),
-            unread: counters.unread.get(),
-        };
-        serde_json::to_string(&report).unwrap_or_else(|problem| format!("{{\"problem\":\"{problem}\"}}"))
-    }
-}
-
-/// Sessions.
-impl Relay {
-    /// Begins to answer a call, if it can be answered.
-    pub fn open(
-        self: &Rc<Self>,
-        kind: Kind,
-        since: u64,
-        handle: &Rc<Handle>,
-    ) -> Result<Rc<Session>, Unavailable> {
-        self.availability()?;
-        if kind == Kind::Watch && self.watches.get() >= self.settings.watchers {
-            return Err(Unavailable::Full(self.settings.watchers));
-        }
-        let watcher = Watcher::new(since, self.replica().generation(), self.now());
-        let session = Rc::new(Session::new(self.clone(), kind, watcher, handle.clone()));
-        let resumes = kind == Kind::Watch && session.resumes(since);
-        if resumes {
-            self.counters.resumed.add(1);
-        } else if let Some(after_s) = session.begin_whole() {
-            return Err(Unavailable::Busy { after_s });
-        }
-        Ok(session)
-    }
-
-    /// Notes a session; gives its number.
-    pub fn register(&self, kind: Kind, handle: &Rc<Handle>) -> u64 {
-        let number = self.began.get();
-        self.began.set(number + 1);
-        self.sessions.borrow_mut().insert(number, (kind, handle.clone()));
-        self.watches.set(self.watches.get() + usize::from(kind == Kind::Watch));
-        number
-    }
-
-    /// A session has ended.
-    pub fn unregister(&self, number: u64) {
-        if let Some((Kind::Watch, _)) = self.sessions.borrow_mut().remove(&number) {
-            self.watches.set(self.watches.get() - 1);
-        }
-    }
-
-    fn wake_all(&self) {
-        self.sessions.borrow().values().for_each(|(_, handle)| handle.wake());
-    }
-}
-
-/// One connection, counted until it is dropped.
-pub struct OpenConnection(Rc<Relay>);
-
-impl Drop for OpenConnection {
-    fn drop(&mut self) {
-        let left = self.0.open_connections.get() - 1;
-        self.0.open_connections.set(left);
-        if left == 0 {
-            self.0.all_closed.notify_one();
+            refused: counters.rejected.get(),
+            unread: counters.unparsed.get(),
         }
     }
 }
 
-/// A number by chance, from the system's source that also seeds hash tables.
-fn drawn_seed() -> u64 {
+/// A random number from the system's source that also seeds hash tables.
+pub fn random_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
--- a/src/bin/flaxgap-relay/body.rs
+++ b/src/bin/flaxgap-relay/response_body.rs
@@ -1,4 +1,4 @@
-//! The bodies of a relay's answers: a text, or what a session sends.
+//! The bodies of a relay's responses: a text, or the stream of a session.
 
 use crate::counters::Counters;
 use crate::session::Session;
@@ -10,31 +10,31 @@
 use std::task::{Context, Poll, ready};
 
 /// What is left to send.
-enum Rest {
+enum Content {
     Text(Option<Bytes>),
     Session(Rc<Session>),
 }
 
-/// A body that counts what the connection takes of it.
-pub struct AnswerBody {
-    rest: Rest,
+/// A response body that counts the bytes that the connection takes.
+pub struct ResponseBody {
+    content: Content,
     counters: Rc<Counters>,
 }
 
-impl AnswerBody {
-    /// A text as a whole.
-    pub fn text(text: impl Into<Bytes>, counters: Rc<Counters>) -> AnswerBody {
+impl ResponseBody {
+    /// A text that is sent as a whole.
+    pub fn text(text: impl Into<Bytes>, counters: Rc<Counters>) -> ResponseBody {
         let text = Some(text.into()).filter(|text| !text.is_empty());
-        AnswerBody { rest: Rest::Text(text), counters }
+        ResponseBody { content: Content::Text(text), counters }
     }
 
-    /// What a session sends.
-    pub fn session(session: Rc<Session>, counters: Rc<Counters>) -> AnswerBody {
-        AnswerBody { rest: Rest::Session(session), counters }
+    /// The stream of a session.
+    pub fn session(session: Rc<Session>, counters: Rc<Counters>) -> ResponseBody {
+        ResponseBody { content: Content::Session(session), counters }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -42,9 +42,9 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let next = match &mut self.rest {
-            Rest::Text(text) => text.take().map(Ok),
-            Rest::Session(session) => ready!(session.poll_next(context)),
+        let next = match &mut self.content {
+            Content::Text(text) => text.take().map(Ok),
+            Content::Session(session) => ready!(session.poll_next(context)),
         };
         if let Some(Ok(bytes)) = &next {
             self.counters.bytes_sent.add(bytes.len() as u64);
@@ -53,13 +53,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.rest, Rest::Text(None))
+        matches!(self.content, Content::Text(None))
     }
 
     fn size_hint(&self) -> SizeHint {
-        match &self.rest {
-            Rest::Text(text) => SizeHint::with_exact(text.as_ref().map_or(0, Bytes::len) as u64),
-            Rest::Session(_) => SizeHint::default(),
+        match &self.content {
+            Content::Text(text) => SizeHint::with_exact(text.as_ref().map_or(0, Bytes::len) as u64),
+            Content::Session(_) => SizeHint::default(),
         }
     }
 }
--- a/src/bin/flaxgap-relay/session.rs
+++ b/src/bin/flaxgap-relay/session.rs
@@ -1,7 +1,9 @@
-//! One call for the list that is being answered: a watch, or the whole list once. What is sent next is decided by
-//! [`Watcher`]; its texts are shared by all sessions.
+//! One request for the list that is being served: a watch, or the complete list once. [`Watcher`] decides what is sent
+//! next; its texts are shared by all sessions.
 
-use crate::relay::Relay;
+use crate::relay::{Relay, Unavailable};
+use crate::session_handle::SessionHandle;
+use crate::session_registry::{SessionId, SessionKind};
 use bytes::Bytes;
 use flaxgap_distribution::replica::Resume;
 use flaxgap_distribution::snapshot_admission::{SnapshotDecision, SnapshotRequestId};
@@ -10,172 +12,190 @@
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll, Waker, ready};
-use tokio::sync::Notify;
+use std::task::{Context, Poll, ready};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// An empty line, by which a watcher knows that the relay lives and has nothing new.
+/// An empty line: the relay is alive and has nothing new.
 const HEARTBEAT: Bytes = Bytes::from_static(b"\n");
 
-/// What others may do to a session.
-#[derive(Default)]
-pub struct Handle {
-    waker: RefCell<Option<Waker>>,
-    /// Its whole list may be sent.
-    admitted: Cell<bool>,
-    /// Drops its connection with what that holds.
-    cut_off: Notify,
-}
-
-impl Handle {
-    /// There may be something to send.
-    pub fn wake(&self) {
-        if let Some(waker) = self.waker.borrow_mut().take() {
-            waker.wake();
-        }
-    }
-
-    /// Its whole list may be sent now.
-    pub fn admit(&self) {
-        self.admitted.set(true);
-        self.wake();
-    }
-
-    /// Ends it at once.
-    pub fn cut_off(&self) {
-        self.cut_off.notify_one();
-    }
-
-    /// Waits until it is to be ended at once.
-    pub async fn is_cut_off(&self) {
-        self.cut_off.notified().await;
-    }
-}
-
-/// What was asked for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// The whole list, once.
-    Whole,
-    /// A watch.
-    Watch,
-}
-
-/// How far the whole list is, where one is needed.
+/// The progress of the complete list in a session.
 #[derive(Clone, Copy)]
-enum WholeList {
-    /// None is needed.
+enum SnapshotProgress {
+    /// The session does not need it.
     NotNeeded,
-    /// It waits for its admission, or has it and is sent next.
-    Owed(SnapshotRequestId),
-    /// The connection has it; it was taken once the connection asks for more.
-    Handed(SnapshotRequestId),
-    /// It was sent.
-    Sent,
+    /// It is queued, or was admitted and is sent next.
+    Requested(SnapshotRequestId),
+    /// The connection is sending it, until it asks for more.
+    Sending(SnapshotRequestId),
+    /// It was sent, or could not be sent.
+    Finished,
 }
 
-/// One call that is being answered.
+/// The next part of a session's response body; `None` at its end.
+type NextPart = Option<io::Result<Bytes>>;
+
+/// One request that is being served.
 pub struct Session {
     relay: Rc<Relay>,
-    number: u64,
-    kind: Kind,
-    handle: Rc<Handle>,
+    id: SessionId,
+    kind: SessionKind,
+    handle: Rc<SessionHandle>,
     watcher: RefCell<Watcher>,
-    whole: Cell<WholeList>,
-    /// When it is to be looked at again.
+    snapshot: Cell<SnapshotProgress>,
+    /// Wakes the session when the watcher has to be polled again.
     timer: RefCell<Pin<Box<Sleep>>>,
 }
 
 impl Session {
-    /// A call that `watcher` answers.
-    pub fn new(relay: Rc<Relay>, kind: Kind, watcher: Watcher, handle: Rc<Handle>) -> Session {
-        let number = relay.register(kind, &handle);
-        let timer = RefCell::new(Box::pin(sleep_until(Instant::now())));
-        let (watcher, whole) = (RefCell::new(watcher), Cell::new(WholeList::NotNeeded));
-        Session { relay, number, kind, handle, watcher, whole, timer }
-    }
-
-    /// Whether a watcher that knows this version needs no whole list at once.
-    pub fn resumes(&self, since: u64) -> bool {
-        self.relay.replica().resume(since, self.relay.now()) != Resume::Snapshot
-    }
-
-    /// Has the whole list admitted, now or later. Where too many wait for theirs: after how many seconds the caller is to
-    /// come again.
-    pub fn begin_whole(&self) -> Option<f64> {
-        let (ticket, admitted) = match self.relay.request_whole() {
-            SnapshotDecision::Admitted(ticket) => (ticket, true),
-            SnapshotDecision::Queued(ticket) => (ticket, false),
-            SnapshotDecision::Rejected { retry_after_s } => return Some(retry_after_s),
+    /// Starts to serve a request, if the relay is available and its limits allow it.
+    pub fn open(
+        relay: &Rc<Relay>,
+        kind: SessionKind,
+        handle: &Rc<SessionHandle>,
+    ) -> Result<Rc<Session>, Unavailable> {
+        relay.availability()?;
+        if !relay.sessions().has_capacity(kind) {
+            return Err(Unavailable::TooManyWatches { max_watches: relay.sessions().max_watches() });
+        }
+        let session = Rc::new(Session::new(relay, kind, handle));
+        if session.can_resume() {
+            relay.counters().resumed.add(1);
+        } else {
+            session.request_snapshot()?;
+        }
+        Ok(session)
+    }
+
+    fn new(relay: &Rc<Relay>, kind: SessionKind, handle: &Rc<SessionHandle>) -> Session {
+        let since = match kind {
+            SessionKind::List => 0,
+            SessionKind::Watch { since } => since,
+        };
+        let watcher = Watcher::new(since, relay.replica().generation(), relay.now());
+        Session {
+            relay: relay.clone(),
+            id: relay.sessions().register(kind, handle),
+            kind,
+            handle: handle.clone(),
+            watcher: RefCell::new(watcher),
+            snapshot: Cell::new(SnapshotProgress::NotNeeded),
+            timer: RefCell::new(Box::pin(sleep_until(Instant::now()))),
+        }
+    }
+
+    /// Whether it is a watch that does not need the complete list at its start.
+    fn can_resume(&self) -> bool {
+        match self.kind {
+            SessionKind::List => false,
+            SessionKind::Watch { since } => {
+                self.relay.replica().resume(since, self.relay.now()) != Resume::Snapshot
+            }
+        }
+    }
+
+    /// Requests the admission of the complete list, now or later; an error if the queue is full.
+    fn request_snapshot(&self) -> Result<(), Unavailable> {
+        let bytes = self.snapshot_bytes();
+        let (id, is_admitted) = match self.relay.snapshots().request(bytes, &self.handle) {
+            SnapshotDecision::Admitted(id) => (id, true),
+            SnapshotDecision::Queued(id) => (id, false),
+            SnapshotDecision::Rejected { retry_after_s } => {
+                return Err(Unavailable::Overloaded { retry_after_s });
+            }
         };
-        self.handle.admitted.set(admitted);
-        self.whole.set(WholeList::Owed(ticket));
-        self.relay.register_ticket(ticket, &self.handle);
-        None
+        self.handle.set_snapshot_admitted(is_admitted);
+        self.snapshot.set(SnapshotProgress::Requested(id));
+        Ok(())
     }
 
-    /// What is sent next, asked once the connection has room; none at the end.
-    pub fn poll_next(&self, context: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        *self.handle.waker.borrow_mut() = Some(context.waker().clone());
-        self.note_taken();
-        if let WholeList::Owed(ticket) = self.whole.get()
-            && self.handle.admitted.get()
-        {
-            return Poll::Ready(self.take_whole(ticket));
+    /// The size of the complete list.
+    fn snapshot_bytes(&self) -> usize {
+        match self.relay.replica_mut().snapshot() {
+            Ok(text) => text.len(),
+            Err(error) => {
+                log::error!("relay: list not encoded, error={error}");
+                0
+            }
+        }
+    }
+
+    /// The next part to send, polled once the connection has capacity; `None` at the end.
+    pub fn poll_next(&self, context: &mut Context<'_>) -> Poll<NextPart> {
+        self.handle.set_waker(context.waker());
+        self.finish_sent_snapshot();
+        if let Some(id) = self.admitted_snapshot() {
+            return Poll::Ready(Some(self.take_snapshot(id)));
         }
         match self.kind {
-            Kind::Whole if matches!(self.whole.get(), WholeList::Sent) => Poll::Ready(None),
-            Kind::Whole if self.relay.is_ending() => Poll::Ready(Some(Err(ended("the relay ends")))),
-            Kind::Whole => Poll::Pending,
-            Kind::Watch if self.relay.is_ending() => Poll::Ready(None),
-            Kind::Watch => self.poll_watch(context),
+            SessionKind::List => self.poll_list(),
+            SessionKind::Watch { .. } if self.relay.is_shutting_down() => Poll::Ready(None),
+            SessionKind::Watch { .. } => self.poll_watch(context),
+        }
+    }
+
+    /// The complete list once: nothing to send before its admission, and nothing after it.
+    fn poll_list(&self) -> Poll<NextPart> {
+        if matches!(self.snapshot.get(), SnapshotProgress::Finished) {
+            return Poll::Ready(None);
+        }
+        if self.relay.is_shutting_down() {
+            return Poll::Ready(Some(Err(io::Error::other("the relay is shutting down"))));
         }
+        Poll::Pending
     }
 
-    fn poll_watch(&self, context: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+    fn poll_watch(&self, context: &mut Context<'_>) -> Poll<NextPart> {
         loop {
-            let next = self.watcher.borrow_mut().poll(&self.relay.replica(), self.relay.now());
-            match next {
+            let action = self.watcher.borrow_mut().poll(&self.relay.replica(), self.relay.now());
+            match action {
                 WatchAction::Send(text) => return Poll::Ready(Some(Ok(text))),
                 WatchAction::Heartbeat => {
                     self.relay.counters().heartbeats.add(1);
                     return Poll::Ready(Some(Ok(HEARTBEAT)));
                 }
-                // Asked for at the call already, unless the watcher was waited for to become current.
-                WatchAction::RequestSnapshot if matches!(self.whole.get(), WholeList::Owed(_)) => {}
                 WatchAction::RequestSnapshot => {
-                    if self.begin_whole().is_some() {
-                        return Poll::Ready(None);
-                    }
-                    if let (true, WholeList::Owed(ticket)) = (self.handle.admitted.get(), self.whole.get()) {
-                        return Poll::Ready(self.take_whole(ticket));
+                    if let Some(part) = self.request_snapshot_of_watch() {
+                        return Poll::Ready(part);
                     }
                 }
                 WatchAction::Wait { until } => ready!(self.poll_timer(until, context)),
                 WatchAction::End(reason) => {
-                    self.note_end(reason);
+                    self.record_end(reason);
                     return Poll::Ready(None);
                 }
             }
         }
     }
 
-    /// Whether the connection may go on although its reader takes nothing.
-    pub fn poll_blocked(&self, context: &mut Context<'_>) -> Poll<io::Error> {
+    /// The watcher needs the complete list. Returns the part to send if it can be sent, or rejected, at once.
+    fn request_snapshot_of_watch(&self) -> Option<NextPart> {
+        // A watch that needs the list at its start has requested it when it was opened.
+        if matches!(self.snapshot.get(), SnapshotProgress::Requested(_)) {
+            return None;
+        }
+        if self.request_snapshot().is_err() {
+            return Some(None);
+        }
+        let id = self.admitted_snapshot()?;
+        Some(Some(self.take_snapshot(id)))
+    }
+
+    /// Whether the connection may stay open although its reader takes nothing.
+    pub fn poll_stalled(&self, context: &mut Context<'_>) -> Poll<io::Error> {
         loop {
-            let blocked = self.watcher.borrow_mut().write_stalled(&self.relay.replica(), self.relay.now());
-            match blocked {
+            let action = self.watcher.borrow_mut().write_stalled(&self.relay.replica(), self.relay.now());
+            match action {
                 StallAction::Wait { until } => ready!(self.poll_timer(until, context)),
                 StallAction::End(reason) => {
-                    self.note_end(reason);
+                    self.record_end(reason);
                     return Poll::Ready(io::Error::new(io::ErrorKind::TimedOut, format!("{reason:?}")));
                 }
             }
         }
     }
 
-    /// Its reader has taken something.
-    pub fn progressed(&self) {
+    /// The reader has taken something.
+    pub fn write_progressed(&self) {
         self.watcher.borrow_mut().write_progressed();
     }
 
@@ -185,49 +205,55 @@
         timer.as_mut().poll(context)
     }
 
-    /// The whole list, once admitted.
-    fn take_whole(&self, ticket: SnapshotRequestId) -> Option<io::Result<Bytes>> {
-        self.handle.admitted.set(false);
-        match self.relay.take_whole(&mut self.watcher.borrow_mut()) {
-            Some(text) => {
-                self.whole.set(WholeList::Handed(ticket));
-                Some(Ok(text))
-            }
-            None => {
-                self.finish(ticket);
-                Some(Err(ended("the list is not current any more")))
-            }
+    /// The request for the complete list, if it was admitted and is not sent yet.
+    fn admitted_snapshot(&self) -> Option<SnapshotRequestId> {
+        match self.snapshot.get() {
+            SnapshotProgress::Requested(id) if self.handle.is_snapshot_admitted() => Some(id),
+            _ => None,
         }
     }
 
-    fn note_taken(&self) {
-        if let WholeList::Handed(ticket) = self.whole.get() {
-            self.finish(ticket);
+    /// The complete list; an error if the replica is not current any more.
+    fn take_snapshot(&self, id: SnapshotRequestId) -> io::Result<Bytes> {
+        self.handle.set_snapshot_admitted(false);
+        let taken = self.watcher.borrow_mut().take_snapshot(&mut self.relay.replica_mut(), self.relay.now());
+        if let Err(error) = &taken {
+            log::error!("relay: list not encoded, error={error}");
+        }
+        let Some(text) = taken.ok().flatten() else {
+            self.finish_snapshot(id);
+            return Err(io::Error::other("the list is not current any more"));
+        };
+        self.relay.counters().snapshots_sent.add(1);
+        self.snapshot.set(SnapshotProgress::Sending(id));
+        Ok(text)
+    }
+
+    /// The connection asks for more: it has taken the complete list.
+    fn finish_sent_snapshot(&self) {
+        if let SnapshotProgress::Sending(id) = self.snapshot.get() {
+            self.finish_snapshot(id);
         }
     }
 
-    fn finish(&self, ticket: SnapshotRequestId) {
-        self.whole.set(WholeList::Sent);
-        self.relay.whole_finished(ticket);
+    fn finish_snapshot(&self, id: SnapshotRequestId) {
+        self.snapshot.set(SnapshotProgress::Finished);
+        self.relay.snapshots().finish(id);
     }
 
-    fn note_end(&self, reason: EndReason) {
+    fn record_end(&self, reason: EndReason) {
         if reason == EndReason::SlowReader {
             self.relay.counters().slow_readers_ended.add(1);
         }
-        log::debug!("relay: session {} ends: {reason:?}", self.number);
+        log::debug!("relay: session ended, id={}, reason={reason:?}", self.id.0);
     }
 }
 
 impl Drop for Session {
     fn drop(&mut self) {
-        if let WholeList::Owed(ticket) | WholeList::Handed(ticket) = self.whole.get() {
-            self.finish(ticket);
+        if let SnapshotProgress::Requested(id) | SnapshotProgress::Sending(id) = self.snapshot.get() {
+            self.finish_snapshot(id);
         }
-        self.relay.unregister(self.number);
+        self.relay.sessions().unregister(self.id);
     }
 }
-
-fn ended(why: &str) -> io::Error {
-    io::Error::other(why.to_string())
-}
--- a/src/bin/flaxgap-relay/settings.rs
+++ b/src/bin/flaxgap-relay/settings.rs
@@ -1,51 +1,83 @@
-//! The relay's configuration: a TOML file, checked in full before anything starts.
+//! The configuration of a relay: a TOML file, checked in full before anything starts.
 
 use flaxgap_distribution::replica::ReplicaLimits;
 use flaxgap_distribution::snapshot_admission::SnapshotLimits;
 use serde::Deserialize;
+use std::fmt::Display;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 use toml::Spanned;
 
-/// Watchers at a time. 4,200 heads with two watches each are 420 at each of 20 relays; this leaves room for a
-/// region's relays to carry the heads of those that are down.
-const MAX_WATCHERS: usize = 4096;
+/// Default limit on concurrent watches. 4,200 heads with two watches each are 420 at each of 20 relays; this leaves
+/// capacity for a region's relays to serve the heads of those that are down.
+const DEFAULT_MAX_WATCHES: usize = 4096;
+/// Allowed limits on concurrent watches; each watch takes a descriptor.
+const MAX_WATCHES_RANGE: RangeInclusive<usize> = 1..=100_000;
+/// Allowed limits on concurrent sends of the complete list; each may hold a text of 1 MB.
+const MAX_SNAPSHOT_SENDS_RANGE: RangeInclusive<usize> = 1..=10_000;
+/// Allowed timeouts of slow readers, in seconds.
+const SLOW_READER_RANGE_S: RangeInclusive<f64> = 0.1..=60.0;
 
-/// A configuration that can't be used.
+/// An invalid configuration; the operator's fault.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
-    #[error("{}: {problem}", path.display())]
+    #[error("{}: {source}", path.display())]
     Unreadable {
-        /// Where it was looked for.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system says.
-        problem: std::io::Error,
+        /// The error of the system.
+        source: std::io::Error,
     },
-    /// It is no TOML of the form expected.
-    #[error("{}: {problem}", path.display())]
+    /// The file is not TOML of the expected form.
+    #[error("{}: {source}", path.display())]
     Malformed {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong, with line and column.
-        problem: toml::de::Error,
+        /// The error of the parser, with line and column.
+        source: toml::de::Error,
     },
-    /// A value is out of its range.
+    /// A value is not allowed.
     #[error("{}: line {line}: {key}: {problem}", path.display())]
     Value {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// The line, from 1.
         line: usize,
         /// The key, with its table.
         key: &'static str,
-        /// What is wrong with it.
-        problem: String,
+        /// Why the value is not allowed.
+        problem: ValueProblem,
     },
 }
 
-/// The file as operators word it.
+/// Why a value is not allowed.
+#[derive(Debug, Error)]
+pub enum ValueProblem {
+    /// A text is empty.
+    #[error("must not be empty")]
+    Empty,
+    /// An address has port 0.
+    #[error("needs a port")]
+    MissingPort,
+    /// The upstream is the relay's own address.
+    #[error("is the relay itself")]
+    OwnAddress,
+    /// A number is out of its range.
+    #[error("{value} is not from {least} to {most}")]
+    OutOfRange {
+        /// The number.
+        value: String,
+        /// The least number allowed.
+        least: String,
+        /// The largest number allowed.
+        most: String,
+    },
+}
+
+/// The file as operators write it.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SettingsFile {
@@ -53,100 +85,127 @@
     listen: SocketAddr,
     upstream: Spanned<SocketAddr>,
     #[serde(default)]
-    limits: LimitsFile,
+    limits: LimitsTable,
 }
 
 /// The `[limits]` table.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct LimitsFile {
+struct LimitsTable {
     watchers: Option<Spanned<usize>>,
     whole_sends: Option<Spanned<usize>>,
     slow_reader_s: Option<Spanned<f64>>,
 }
 
-/// What a relay goes by.
+/// The configuration of a relay.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct RelaySettings {
     /// Its name in the log and in its counters.
     pub name: String,
-    /// Where heads call it.
+    /// The address that heads call.
     pub listen: SocketAddr,
-    /// The source that it follows.
+    /// The address of the source that it watches.
     pub upstream: SocketAddr,
-    /// Watchers at a time.
-    pub watchers: usize,
-    /// Whole lists that are being sent at a time.
-    pub whole_sends: usize,
-    /// How many seconds a watcher may leave what was sent to it unread.
+    /// Limit on concurrent watches.
+    pub max_watches: usize,
+    /// Limit on concurrent sends of the complete list.
+    pub max_snapshot_sends: usize,
+    /// How long a watcher may leave pending data unread, in seconds.
     pub slow_reader_s: f64,
 }
 
-/// A file and its text, for errors with their place.
-struct Source<'a> {
+impl RelaySettings {
+    /// Reads and checks a file.
+    pub fn load(path: &Path) -> Result<RelaySettings, SettingsError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| SettingsError::Unreadable { path: path.into(), source })?;
+        let file: SettingsFile =
+            toml::from_str(&text).map_err(|source| SettingsError::Malformed { path: path.into(), source })?;
+        let checker = FileChecker { path, text: &text };
+        checker.settings(file)
+    }
+}
+
+/// Checks a file, and reports errors with their line.
+struct FileChecker<'a> {
     path: &'a Path,
     text: &'a str,
 }
 
-impl Source<'_> {
-    fn error<T>(&self, value: &Spanned<T>, key: &'static str, problem: String) -> SettingsError {
-        let before = self.text.get(..value.span().start).unwrap_or_default();
-        SettingsError::Value { path: self.path.into(), line: 1 + before.matches('\n').count(), key, problem }
+impl FileChecker<'_> {
+    fn settings(&self, file: SettingsFile) -> Result<RelaySettings, SettingsError> {
+        self.check_name(&file.name)?;
+        self.check_upstream(&file.upstream, file.listen)?;
+        let limits = &file.limits;
+        let max_watches =
+            self.number(&limits.watchers, "limits.watchers", DEFAULT_MAX_WATCHES, MAX_WATCHES_RANGE)?;
+        let max_snapshot_sends = self.number(
+            &limits.whole_sends,
+            "limits.whole_sends",
+            SnapshotLimits::default().max_sending,
+            MAX_SNAPSHOT_SENDS_RANGE,
+        )?;
+        let slow_reader_s = self.number(
+            &limits.slow_reader_s,
+            "limits.slow_reader_s",
+            ReplicaLimits::default().slow_reader_s,
+            SLOW_READER_RANGE_S,
+        )?;
+        Ok(RelaySettings {
+            name: file.name.into_inner(),
+            listen: file.listen,
+            upstream: file.upstream.into_inner(),
+            max_watches,
+            max_snapshot_sends,
+            slow_reader_s,
+        })
+    }
+
+    fn check_name(&self, name: &Spanned<String>) -> Result<(), SettingsError> {
+        if name.get_ref().trim().is_empty() {
+            return Err(self.error(name, "name", ValueProblem::Empty));
+        }
+        Ok(())
     }
 
-    /// A number in a range; the default where the file has none.
-    fn number<T: PartialOrd + Copy + std::fmt::Display>(
+    fn check_upstream(
+        &self,
+        upstream: &Spanned<SocketAddr>,
+        listen: SocketAddr,
+    ) -> Result<(), SettingsError> {
+        if upstream.get_ref().port() == 0 {
+            return Err(self.error(upstream, "upstream", ValueProblem::MissingPort));
+        }
+        if *upstream.get_ref() == listen {
+            return Err(self.error(upstream, "upstream", ValueProblem::OwnAddress));
+        }
+        Ok(())
+    }
+
+    /// A number within its range; the default if the file has none.
+    fn number<T: PartialOrd + Copy + Display>(
         &self,
         found: &Option<Spanned<T>>,
         key: &'static str,
         default: T,
-        (least, most): (T, T),
+        range: RangeInclusive<T>,
     ) -> Result<T, SettingsError> {
         let Some(found) = found else { return Ok(default) };
         let value = *found.get_ref();
-        if value >= least && value <= most {
+        if range.contains(&value) {
             return Ok(value);
         }
-        Err(self.error(found, key, format!("{value} is not from {least} to {most}")))
+        let problem = ValueProblem::OutOfRange {
+            value: value.to_string(),
+            least: range.start().to_string(),
+            most: range.end().to_string(),
+        };
+        Err(self.error(found, key, problem))
     }
-}
 
-impl Settings {
-    /// Reads and checks a file.
-    pub fn load(path: &Path) -> Result<Settings, SettingsError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|problem| SettingsError::Unreadable { path: path.into(), problem })?;
-        let file: SettingsFile = toml::from_str(&text)
-            .map_err(|problem| SettingsError::Malformed { path: path.into(), problem })?;
-        Settings::check(file, &Source { path, text: &text })
-    }
-
-    fn check(file: SettingsFile, source: &Source) -> Result<Settings, SettingsError> {
-        let (name, upstream) = (file.name.get_ref(), *file.upstream.get_ref());
-        if name.trim().is_empty() {
-            return Err(source.error(&file.name, "name", "must not be empty".into()));
-        }
-        if upstream.port() == 0 {
-            return Err(source.error(&file.upstream, "upstream", "needs a port".into()));
-        }
-        if upstream == file.listen {
-            return Err(source.error(&file.upstream, "upstream", "is the relay itself".into()));
-        }
-        let limits = &file.limits;
-        let sends = SnapshotLimits::default().max_sending;
-        let slow_reader_s = ReplicaLimits::default().slow_reader_s;
-        Ok(Settings {
-            name: name.clone(),
-            listen: file.listen,
-            upstream,
-            watchers: source.number(&limits.watchers, "limits.watchers", MAX_WATCHERS, (1, 100_000))?,
-            whole_sends: source.number(&limits.whole_sends, "limits.whole_sends", sends, (1, 10_000))?,
-            slow_reader_s: source.number(
-                &limits.slow_reader_s,
-                "limits.slow_reader_s",
-                slow_reader_s,
-                (0.1, 60.0),
-            )?,
-        })
+    fn error<T>(&self, value: &Spanned<T>, key: &'static str, problem: ValueProblem) -> SettingsError {
+        let text_before = self.text.get(..value.span().start).unwrap_or_default();
+        let line = 1 + text_before.matches('\n').count();
+        SettingsError::Value { path: self.path.into(), line, key, problem }
     }
 }
--- /dev/null
+++ b/src/bin/flaxgap-relay/upstream.rs
@@ -0,0 +1,132 @@
+//! Watches the upstream: applies its lists to the replica, renews the lease, and wakes the sessions.
+
+use crate::counters::Counters;
+use crate::relay::{Relay, random_seed};
+use flaxgap::discovery::client::{CountedTcp, Query, Subscription, Update};
+use flaxgap::discovery::schedule::PollSchedule;
+use flaxgap::discovery::whole::Whole;
+use flaxgap_distribution::replica::{Applied, ReplicaStatus};
+use flaxgap_membership::compact::CompactList;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{sleep, sleep_until};
+
+/// The poll schedule assumes this many callers: relays are few.
+const CALLERS: u32 = 1;
+/// While no call is out and no watch is open, the backoff between calls restarts this often, so that the upstream's
+/// return is found within a second.
+const BACKOFF_RESTART_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The watch on the upstream of a relay.
+pub struct UpstreamFollower {
+    relay: Rc<Relay>,
+    /// The requests for the complete list that are still needed.
+    relist: Whole,
+    /// Whether the replica was current when it was last checked.
+    was_current: bool,
+}
+
+impl UpstreamFollower {
+    /// The upstream of a relay, not called yet.
+    pub fn new(relay: &Rc<Relay>) -> UpstreamFollower {
+        UpstreamFollower { relay: relay.clone(), relist: Whole::wanted(false), was_current: false }
+    }
+
+    /// Follows the upstream for as long as it is polled.
+    pub async fn run(mut self) {
+        let schedule = PollSchedule::new(CALLERS, random_seed(), true, Duration::ZERO);
+        let dial = CountedTcp(self.relay.counters().clone());
+        let mut subscription = Subscription::new(dial, self.relay.settings().upstream, &schedule);
+        loop {
+            tokio::select! {
+                update = subscription.next(|| self.query()) => self.take_update(update, &mut subscription),
+                () = self.lease_expired() => {}
+                () = sleep(BACKOFF_RESTART_INTERVAL) => subscription.restart_pauses(),
+            }
+            self.check_status();
+        }
+    }
+
+    /// What the next call has to ask for.
+    fn query(&self) -> Query {
+        let replica = self.relay.replica();
+        if self.relist.take() || replica.needs_relist(self.relay.now()) {
+            Query::Whole
+        } else {
+            Query::Since(replica.upstream_version())
+        }
+    }
+
+    /// Waits until the lease of a current replica expires.
+    async fn lease_expired(&self) {
+        let expires_at = self.relay.replica().lease_expires_at().filter(|_| self.was_current);
+        match expires_at {
+            Some(at) => sleep_until(self.relay.instant(at)).await,
+            None => std::future::pending().await,
+        }
+    }
+
+    fn take_update(&self, update: Update, subscription: &mut Subscription<'_, CountedTcp<Counters>>) {
+        match update {
+            Update::List(list, query) => {
+                if query == Query::Whole {
+                    self.relist.told();
+                }
+                self.apply_list(list);
+            }
+            Update::Alive => self.relay.replica_mut().renew_lease(self.relay.now()),
+            Update::Unread(error) => {
+                log::warn!("relay: unparsed message from upstream, error={error}");
+                self.relay.counters().unparsed.add(1);
+                self.relist.lost();
+                subscription.request_soon();
+            }
+            Update::Lost | Update::Ended { .. } => {}
+            Update::Silent(duration) => log::warn!("relay: upstream idle, duration={duration:?}"),
+        }
+        if self.relay.replica().needs_relist(self.relay.now()) {
+            subscription.forget_known_list();
+            subscription.request_soon();
+        }
+    }
+
+    fn apply_list(&self, list: CompactList) {
+        let unparsed = list.unread.len() as u64;
+        self.relay.counters().unparsed.add(unparsed);
+        let applied = self.relay.replica_mut().apply(list.into(), self.relay.now());
+        match applied {
+            Ok(applied) => self.record_applied(applied),
+            Err(error) => log::error!("relay: list not encoded, error={error}"),
+        }
+        self.relay.sessions().wake_all();
+    }
+
+    fn record_applied(&self, applied: Applied) {
+        let version = applied.version;
+        if applied.changed_entries > 0 {
+            self.relay.counters().changes.add(1);
+            log::info!("relay: list applied, version={version}, changed_entries={}", applied.changed_entries);
+        }
+        if applied.is_behind || applied.renumbered {
+            log::warn!("relay: upstream is behind or has restarted its numbering, version={version}");
+        }
+    }
+
+    /// Logs the change between current and not current, and wakes the sessions when the replica is current again.
+    fn check_status(&mut self) {
+        let is_current = self.relay.replica().status(self.relay.now()) == ReplicaStatus::Current;
+        if is_current == self.was_current {
+            return;
+        }
+        self.was_current = is_current;
+        let version = self.relay.replica().version();
+        if is_current {
+            let nodes = self.relay.replica().node_count();
+            log::info!("relay: current, version={version}, nodes={nodes}");
+            self.relay.sessions().wake_all();
+        } else {
+            self.relay.counters().lease_expired.add(1);
+            log::warn!("relay: lease expired, nothing is sent to watchers, version={version}");
+        }
+    }
+}
