--- a/src/daemon/build.rs
+++ b/src/daemon/build.rs
@@ -6,7 +6,7 @@
 use crate::config::{Config, WireSettings};
 use crate::core::{Clock, Dispatcher};
 use crate::discovery::EndpointDirectory;
-use crate::discovery::relays::settings::Distribution;
+use crate::discovery::relays::settings::DistributionSettings;
 use crate::discovery::schedule::PollSchedule;
 use crate::exclusions::Exclusions;
 use crate::frontend::admin::AdminServer;
@@ -37,7 +37,7 @@
     /// The frontend for HTTP/2.
     pub(super) http2: Option<Http2>,
     /// The relays to follow in place of discovery.
-    pub(super) distribution: Option<Distribution>,
+    pub(super) distribution: Option<DistributionSettings>,
     /// The block frontend's target.
     pub(super) block_target: Option<Target>,
 }
--- a/src/daemon/endpoint_list.rs
+++ b/src/daemon/endpoint_list.rs
@@ -5,7 +5,7 @@
 use crate::config::Config;
 use crate::discovery::EndpointDirectory;
 use crate::discovery::relays::RelayFollower;
-use crate::discovery::relays::settings::Distribution;
+use crate::discovery::relays::settings::DistributionSettings;
 use crate::scheduler::UpdateKind;
 use flaxgap_membership::Source;
 use flaxgap_membership::wire::List;
@@ -29,7 +29,7 @@
     ///
     /// [`DaemonError::Relays`] if the relays can't be followed.
     pub(super) fn new(
-        relays: Option<Distribution>,
+        relays: Option<DistributionSettings>,
         discovery: watch::Receiver<SocketAddr>,
         directory: &Rc<EndpointDirectory>,
         config: &Config,
