--- /dev/null
+++ b/src/scheduler/attempt_results.rs
@@ -0,0 +1,143 @@
+//! The end of an attempt: what it shows of its node, and whether the request is sent again.
+
+use super::Scheduler;
+use super::interface::{Action, AttemptOutcome, RequestId};
+use super::node_queue::{InFlight, NodeAnswer};
+use super::pending_requests::PendingRequests;
+use super::retry_rules;
+use super::settings::{Idempotency, SchedulerSettings};
+use flaxgap_attempts::{Attempt, End};
+
+/// Multiples of a node's recent latency after which an attempt that was passed over is overdue.
+const OVERDUE_LATENCIES: f64 = 12.0;
+
+impl Scheduler {
+    /// Takes in the end of an attempt.
+    pub(super) fn handle_attempt_end(
+        &mut self,
+        id: RequestId,
+        attempt_index: usize,
+        end: End,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.requests.get_mut(id) else { return };
+        let Some(attempt) = pending.attempts.end(attempt_index, end.outcome) else { return };
+        if let Some(extent) = pending.ordered_extent.filter(|_| end.outcome.may_still_run()) {
+            self.extent_order.pause(extent, self.now + self.settings.ordering_pause_s);
+        }
+        self.record_node_result(id, &attempt, &end);
+        let pending = &self.requests[id];
+        let is_served = end.outcome == AttemptOutcome::Ok;
+        if end.done || is_served || pending.is_completed() {
+            self.record_delay(id, self.now - pending.arrived_at, is_served);
+            self.complete(id);
+        } else if end.last {
+            self.finish_unserved(id, actions);
+        } else {
+            self.retry(id, actions);
+        }
+    }
+
+    /// Records what the attempt's end shows of the fleet and of its node, unless another node serves the shard now.
+    fn record_node_result(&mut self, id: RequestId, attempt: &Attempt, end: &End) {
+        let pending = &self.requests[id];
+        let is_answer = matches!(end.outcome, AttemptOutcome::Ok | AttemptOutcome::Error);
+        if is_answer || end.outcome == AttemptOutcome::Timeout {
+            self.fleet_latency.record(end.elapsed, self.now);
+        }
+        let Some(queue) = self.node_queues.get_mut(attempt.shard) else { return };
+        if queue.server.epoch != attempt.epoch {
+            return;
+        }
+        queue.remove_in_flight(id);
+        if !is_answer {
+            queue.record_failure(end.outcome, self.now);
+            return;
+        }
+        let units = pending.request.units;
+        let answer = NodeAnswer {
+            class: pending.request.class.0,
+            units,
+            unreserved_units: if pending.is_reserved { 0.0 } else { units },
+            sent_at: attempt.at,
+            elapsed_s: end.elapsed,
+        };
+        queue.record_answer(&answer, self.tightest_objective_s, self.now);
+        if queue.has_passed_over() {
+            self.node_queues.mark_passed_over(attempt.shard);
+        }
+    }
+
+    /// Queues a request for another attempt, or answers it if none is allowed.
+    fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let pending = &self.requests[id];
+        let idempotency = self.settings.classes[pending.request.class.0].idempotency;
+        let is_allowed = pending.attempts.len() < self.settings.max_attempts
+            && pending.deadline_at > self.now + self.answer_margin_s()
+            && retry_rules::may_retry(idempotency, &pending.attempts);
+        if is_allowed && self.retry_budget.allows_retry(self.now) {
+            self.enqueue(id);
+        } else {
+            self.finish_unserved(id, actions);
+        }
+    }
+
+    /// A streamed body began to pass through: no deadline runs any more, and the attempt takes no place in its node's
+    /// window.
+    pub(super) fn handle_streaming_started(&mut self, id: RequestId) {
+        self.requests.stop_deadline(id);
+        let Some(pending) = self.requests.get(id) else { return };
+        let Some(shard) = pending.attempts.out_at() else { return };
+        if let Some(queue) = self.node_queues.get_mut(shard) {
+            queue.remove_in_flight(id);
+        }
+    }
+
+    /// Cancels the attempts that are overdue for their size while their node answered later ones: the connection is
+    /// stalled or the answer is lost, and there is time for another attempt.
+    pub(super) fn cancel_overdue_attempts(&mut self, actions: &mut Vec<Action>) {
+        if !self.settings.cancellation {
+            return;
+        }
+        let check = OverdueCheck { now: self.now, settings: &self.settings, requests: &self.requests };
+        let tightest_objective_s = self.tightest_objective_s;
+        self.node_queues.for_each_passed_over(|queue| {
+            let overdue_after_s = (OVERDUE_LATENCIES * queue.latency.recent_s()).max(tightest_objective_s);
+            queue.in_flight.retain(|attempt| {
+                let cancel = check.cancellation(attempt, overdue_after_s);
+                let is_kept = cancel.is_none();
+                actions.extend(cancel);
+                is_kept
+            });
+        });
+    }
+}
+
+/// What tells whether an attempt is overdue.
+struct OverdueCheck<'a> {
+    now: f64,
+    settings: &'a SchedulerSettings,
+    requests: &'a PendingRequests,
+}
+
+impl OverdueCheck<'_> {
+    /// The action that cancels an attempt, if it is overdue and its request may be sent again in time.
+    fn cancellation(&self, in_flight: &InFlight, overdue_after_s: f64) -> Option<Action> {
+        if !in_flight.is_passed_over() {
+            return None;
+        }
+        let pending = self.requests.get(in_flight.request).filter(|pending| !pending.is_completed())?;
+        let idempotency = self.settings.classes[pending.request.class.0].idempotency;
+        let attempts = pending.attempts.len();
+        if attempts >= self.settings.max_attempts || idempotency == Idempotency::NotIdempotent {
+            return None;
+        }
+        let size = (pending.request.units / self.settings.mean_request_units).max(1.0);
+        let is_overdue = self.now - in_flight.sent_at > overdue_after_s * size;
+        let retry_until =
+            pending.deadline_at.min(retry_rules::retry_window_end(idempotency, &pending.attempts));
+        let has_time = retry_until - self.now > overdue_after_s;
+        let cancel = Action::Cancel { request: in_flight.request, attempt: attempts - 1 };
+        (is_overdue && has_time).then_some(cancel)
+    }
+}
--- /dev/null
+++ b/src/scheduler/completion.rs
@@ -0,0 +1,82 @@
+//! The end of a request: its final answer, the advice when to retry, and what is counted of it.
+
+use super::Scheduler;
+use super::interface::{Action, Admission, RequestId};
+use super::node_backoff::LONGEST_PAUSE_S;
+use super::pending_requests::RequestState;
+use super::retry_rules;
+
+impl Scheduler {
+    /// Answers a request that was not served: a rejection where the retry rules allow one, else a failure.
+    pub(super) fn finish_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get(id) else { return };
+        let idempotency = self.settings.classes[pending.request.class.0].idempotency;
+        let may_reject = retry_rules::may_reject(idempotency, &pending.attempts);
+        let waited_s = self.now - pending.arrived_at;
+        self.cancel_attempts(id, actions);
+        let answer = if may_reject {
+            Action::Reject { request: id, retry_after_s: self.retry_after_s(id) }
+        } else {
+            Action::Fail { request: id }
+        };
+        actions.push(answer);
+        self.record_delay(id, waited_s, false);
+        self.complete(id);
+    }
+
+    /// Seconds until a rejected client should retry: its volume's limit admits the request then, the node's pause and
+    /// the shedding level are over. An estimate for a request that arrives alone.
+    fn retry_after_s(&mut self, id: RequestId) -> f64 {
+        let pending = &self.requests[id];
+        let Some(queue) = self.node_queues.get(pending.shard) else { return LONGEST_PAUSE_S };
+        let pause_s = queue.backoff.ends_at() - self.now;
+        let latency_s = queue.estimated_latency_s(self.now, self.fleet_latency);
+        let node_wait_s = if queue.server.node.is_some() { pause_s.max(latency_s) } else { LONGEST_PAUSE_S };
+        let shedding_s = match self.load_shedding.admission(&pending.request, queue, self.now) {
+            Admission::All | Admission::WithinQuota => 0.0,
+            Admission::WithinReserve | Admission::TrialOnly => self.load_shedding.level().ends_at - self.now,
+        };
+        let limit_wait_s = self.volume_quotas.limit_wait_s(&pending.request, false, self.now);
+        limit_wait_s.max(node_wait_s).max(shedding_s)
+    }
+
+    /// Cancels a request's attempts that are in flight.
+    pub(super) fn cancel_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if !self.settings.cancellation {
+            return;
+        }
+        let Some(pending) = self.requests.get(id) else { return };
+        for (attempt, _) in pending.attempts.out() {
+            actions.push(Action::Cancel { request: id, attempt });
+        }
+    }
+
+    /// Completes a request. It stays known, for the order within its extent, until its last attempt has ended.
+    pub(super) fn complete(&mut self, id: RequestId) {
+        self.dequeue(id);
+        self.requests.stop_deadline(id);
+        let Some(pending) = self.requests.get_mut(id) else { return };
+        pending.state = RequestState::Completed;
+        if pending.attempts.is_out() {
+            return;
+        }
+        if let Some(extent) = pending.ordered_extent {
+            self.extent_order.remove(extent, id);
+        }
+        self.requests.remove(id);
+    }
+
+    /// Counts how a request ended, if it was inside its volume's reserve at arrival. Others are not sampled: the
+    /// surplus of a volume far beyond its reserve waits long, and would draw weight to the class it happens to be in.
+    pub(super) fn record_delay(&mut self, id: RequestId, delay_s: f64, is_served: bool) {
+        let Some(pending) = self.requests.get(id) else { return };
+        if pending.is_completed() || !pending.is_reserved {
+            return;
+        }
+        let class = pending.request.class;
+        self.class_weights.record_delay(class.0, delay_s);
+        let zone = self.node_queues.get(pending.shard).and_then(|queue| queue.server.zone());
+        let met_objective = is_served && self.now <= pending.objective_at;
+        self.reserved_work.entry((zone, class)).or_default().record(met_objective, delay_s);
+    }
+}
--- /dev/null
+++ b/src/scheduler/node_queue.rs
@@ -0,0 +1,178 @@
+//! The queue of one shard's work before the node that serves the shard, and what this head knows of that node.
+
+use super::concurrency_window::ConcurrencyWindow;
+use super::fair_queue::FairQueue;
+use super::fleet_latency::FleetLatency;
+use super::interface::{AttemptOutcome, RequestId};
+use super::node_backoff::NodeBackoff;
+use super::node_latency::NodeLatency;
+use flaxgap_shard_table::Server;
+use flaxgap_slow_start::{Pace, SlowStart};
+
+/// Later attempts that were answered before one that is taken for passed over.
+const PASSED_OVER_ANSWERS: u32 = 4;
+/// Fraction of the tightest latency objective up to which a node is quick, and past which it is under pressure.
+pub(super) const PRESSURE_FRACTION: f64 = 0.35;
+
+/// An attempt that is in flight.
+pub(super) struct InFlight {
+    pub(super) sent_at: f64,
+    pub(super) request: RequestId,
+    /// How many attempts that were sent later were answered before it.
+    later_answers: u32,
+}
+
+impl InFlight {
+    /// Whether the node has answered so many later attempts that this one is probably lost.
+    pub(super) fn is_passed_over(&self) -> bool {
+        self.later_answers >= PASSED_OVER_ANSWERS
+    }
+}
+
+/// A request's place in a node queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct QueuePosition {
+    pub(super) class: usize,
+    pub(super) index: usize,
+}
+
+/// An answer of a node.
+pub(super) struct NodeAnswer {
+    pub(super) class: usize,
+    pub(super) units: f64,
+    /// Units that the node served beyond the reserves; those inside were counted when they arrived.
+    pub(super) unreserved_units: f64,
+    pub(super) sent_at: f64,
+    pub(super) elapsed_s: f64,
+}
+
+/// The queued requests of a shard, by class, and the state of the node that serves it.
+pub(super) struct NodeQueue {
+    pub(super) server: Server,
+    pub(super) queued_by_class: Vec<Vec<RequestId>>,
+    /// In the order in which they were sent.
+    pub(super) in_flight: Vec<InFlight>,
+    pub(super) fair_queue: FairQueue,
+    pub(super) window: ConcurrencyWindow,
+    pub(super) backoff: NodeBackoff,
+    pub(super) latency: NodeLatency,
+    pub(super) slow_start: SlowStart,
+}
+
+impl NodeQueue {
+    /// The queue of a shard at its first use, as if made when the shard was first listed: until now this head had
+    /// no work for it.
+    pub(super) fn new(classes: usize, warm_up_s: f64, server: Server) -> NodeQueue {
+        let mut slow_start = SlowStart::new(warm_up_s, server.shard_known);
+        slow_start.started(server.since);
+        NodeQueue {
+            server,
+            queued_by_class: vec![Vec::new(); classes],
+            in_flight: Vec::new(),
+            fair_queue: FairQueue::new(classes),
+            window: ConcurrencyWindow::default(),
+            backoff: NodeBackoff::default(),
+            latency: NodeLatency::new(classes),
+            slow_start,
+        }
+    }
+
+    /// Takes in which node serves the shard. The queued requests stay; a node that took over, or the same one after
+    /// a restart, is learnt anew.
+    pub(super) fn set_server(&mut self, server: &Server) {
+        if server.epoch != self.server.epoch {
+            let classes = self.queued_by_class.len();
+            self.slow_start.started(server.since);
+            self.in_flight = Vec::new();
+            self.fair_queue = FairQueue::new(classes);
+            self.window = ConcurrencyWindow::default();
+            self.backoff = NodeBackoff::default();
+            self.latency = NodeLatency::new(classes);
+        }
+        self.server = server.clone();
+    }
+
+    /// Whether a request is queued.
+    pub(super) fn has_queued(&self) -> bool {
+        self.queued_by_class.iter().any(|requests| !requests.is_empty())
+    }
+
+    /// How many requests are queued.
+    pub(super) fn queued_count(&self) -> usize {
+        self.queued_by_class.iter().map(Vec::len).sum()
+    }
+
+    /// The request at a place of the queue.
+    pub(super) fn queued_at(&self, position: QueuePosition) -> Option<RequestId> {
+        self.queued_by_class[position.class].get(position.index).copied()
+    }
+
+    /// Whether one more request may go to the node. After a failure one at a time may, as a trial.
+    pub(super) fn can_send(&self, now: f64) -> bool {
+        let concurrency_limit = if self.backoff.is_failing() { 1 } else { self.window.limit() };
+        self.server.node.is_some() && self.in_flight.len() < concurrency_limit && self.backoff.is_over(now)
+    }
+
+    /// The node's latency as it is likely to be now. An attempt that has been in flight for longer counts: the node
+    /// has stopped or is slow.
+    pub(super) fn estimated_latency_s(&self, now: f64, fleet: FleetLatency) -> f64 {
+        let estimate_s = self.latency.estimate(now, fleet);
+        self.in_flight.first().map_or(estimate_s, |oldest| estimate_s.max(now - oldest.sent_at))
+    }
+
+    /// Whether an attempt in flight was passed over.
+    pub(super) fn has_passed_over(&self) -> bool {
+        self.in_flight.iter().any(InFlight::is_passed_over)
+    }
+
+    /// Records an attempt that was sent to the node.
+    pub(super) fn record_sent(&mut self, request: RequestId, units: f64, now: f64) {
+        self.slow_start.sent(units);
+        self.in_flight.push(InFlight { sent_at: now, request, later_answers: 0 });
+        self.window.record_sent(self.in_flight.len());
+    }
+
+    /// Frees the place of a request's attempt in the window.
+    pub(super) fn remove_in_flight(&mut self, request: RequestId) {
+        self.in_flight.retain(|attempt| attempt.request != request);
+    }
+
+    /// Records an answer of the node.
+    pub(super) fn record_answer(&mut self, answer: &NodeAnswer, tightest_objective_s: f64, now: f64) {
+        self.backoff.record_answer();
+        for attempt in &mut self.in_flight {
+            if attempt.sent_at < answer.sent_at {
+                attempt.later_answers += 1;
+            }
+        }
+        self.slow_start.due(now, answer.unreserved_units);
+        self.slow_start.answered(answer_pace(answer.elapsed_s / tightest_objective_s));
+        self.latency.record(answer.class, answer.elapsed_s, now);
+        self.window.record_answer(answer.elapsed_s, answer.units);
+    }
+
+    /// Records the end of an attempt that was not answered.
+    pub(super) fn record_failure(&mut self, outcome: AttemptOutcome, now: f64) {
+        match outcome {
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
+                self.backoff.record_failure(now);
+                self.window.halve();
+                self.slow_start.failed();
+            }
+            AttemptOutcome::Timeout => self.window.halve(),
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
+            AttemptOutcome::Ok | AttemptOutcome::Error => {}
+        }
+    }
+}
+
+/// How an answer's latency, in multiples of the tightest objective, counts for slow start.
+fn answer_pace(latency_ratio: f64) -> Pace {
+    if latency_ratio < PRESSURE_FRACTION {
+        Pace::Quick
+    } else if latency_ratio > 1.0 {
+        Pace::Slow
+    } else {
+        Pace::Fair
+    }
+}
