--- a/src/scheduler/class_weights_tests.rs
+++ b/src/scheduler/class_weights_tests.rs
@@ -1,9 +1,7 @@
 //! The steps of the weights' adaptation, their numbers worked out by hand.
 
 use super::class_weights::{ADAPTATION_TICKS, ClassWeights, DelaySum, MIN_WEIGHT_FRACTION};
-
-#[path = "../../tests/common/mod.rs"]
-mod common;
+use super::common;
 
 /// Gives three classes with objectives of 0.2, 0.3 and 0.8 s these mean delays since the last adaptation.
 fn set_delays(weights: &mut ClassWeights, delays: [f64; 3]) {
--- a/src/scheduler/memory_tests.rs
+++ b/src/scheduler/memory_tests.rs
@@ -1,9 +1,6 @@
 //! Memory: what is out of use is forgotten.
 
-use super::{AttemptOutcome, IoRequest, Scheduler, VolumeId};
-
-#[path = "../../tests/common/mod.rs"]
-mod common;
+use super::{AttemptOutcome, IoRequest, Scheduler, VolumeId, common};
 
 /// Volumes with a tag in a node's fair queue, over all nodes.
 fn tagged_volumes(scheduler: &Scheduler) -> usize {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -207,4 +207,7 @@
 #[cfg(test)]
 mod class_weights_tests;
 #[cfg(test)]
+#[path = "../../tests/common/mod.rs"]
+mod common;
+#[cfg(test)]
 mod memory_tests;
