--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -96,7 +96,7 @@
         let address = plan.discovery[region(zone(number)) % plan.discovery.len()];
         let (discovery, source) = watch::channel(address);
         let mut tasks = vec![
-            spawn_local(async move { dispatcher.keep_time().await }),
+            spawn_local(async move { dispatcher.run_timers().await }),
             spawn_local(async move { nodes.sweep().await }),
         ];
         if plan.relays.is_empty() {
--- a/src/daemon/build.rs
+++ b/src/daemon/build.rs
@@ -233,7 +233,7 @@
             spawn_local(export::to_collectd(collectd, self.counters.clone()));
         }
         if let Some(plugin) = &operators_file.plugin {
-            self.dispatcher.observe(Rc::new(Plugin::load(plugin, self.counters.clone())?));
+            self.dispatcher.set_observer(Rc::new(Plugin::load(plugin, self.counters.clone())?));
         }
         Ok(())
     }
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -50,7 +50,7 @@
 pub(super) async fn drain(parts: &Parts, server: Server, longest_deadline_s: f64) {
     parts.lifecycle.enter(Phase::Draining);
     let schedule = DrainSchedule::starting_now(longest_deadline_s);
-    parts.dispatcher.finish_by(schedule.last_answer_by);
+    parts.dispatcher.set_shutdown_deadline(schedule.last_answer_by);
     serve_until_connections_close(parts, &server, &schedule).await;
     parts.lifecycle.close_idle();
     accept_what_is_queued(parts, &server, schedule.end).await;
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -41,7 +41,7 @@
         let shedding = parts.shedding.clone();
         let nodes = parts.nodes.clone();
         BackgroundTasks {
-            scheduler_clock: spawn_local(async move { dispatcher.keep_time().await }),
+            scheduler_clock: spawn_local(async move { dispatcher.run_timers().await }),
             load_shedding: spawn_local(async move { shedding.run().await }),
             connection_pools: spawn_local(async move { nodes.sweep().await }),
         }
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -133,7 +133,7 @@
     pub fn bans_changed(&self) {
         let nodes: Vec<Node> = self.membership.borrow().nodes().collect();
         let nodes = nodes.iter().map(|node| self.settle(node)).collect();
-        self.dispatcher.tell(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints: nodes }]);
+        self.dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints: nodes }]);
     }
 
     /// A listed node as it is to be used, told to the transport: one that is out is left as one that drains
@@ -178,7 +178,7 @@
         let changes = self.membership.borrow_mut().apply(&list, source, now);
         let nodes: Vec<Endpoint> = changes.into_iter().flat_map(|change| self.change(change)).collect();
         if first || !nodes.is_empty() {
-            self.dispatcher.tell(&[Event::EndpointUpdate { kind, endpoints: nodes }]);
+            self.dispatcher.notify(&[Event::EndpointUpdate { kind, endpoints: nodes }]);
         }
         self.in_force();
         self.heard
--- a/src/frontend/request.rs
+++ b/src/frontend/request.rs
@@ -360,7 +360,7 @@
         let call = Box::pin(self.call(request, fields, grace, client)).await;
         // A second request with an id would be a second copy at the node.
         match call.and_then(|call| {
-            let fresh = self.dispatcher.claim(&call.node_request.id);
+            let fresh = self.dispatcher.claim_request_id(&call.node_request.id);
             if fresh { Ok(call) } else { Err(BadRequest::Duplicate) }
         }) {
             Err(problem) => {
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -184,7 +184,7 @@
         let after = *self.standing.borrow();
         if before.part() != after.part() {
             log::info!("handover: this process has {} of the head's share", after.part());
-            self.shared.dispatcher.tell(&[Event::ProcessShareChanged { fraction: after.part() }]);
+            self.shared.dispatcher.notify(&[Event::ProcessShareChanged { fraction: after.part() }]);
             self.shared.budget.set_part(after.part());
             self.shared.memory.set_part(after.part());
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -579,7 +579,7 @@
         loop {
             let (link, pooled) = match self.pooled(node).await {
                 Some(link) => (link, true),
-                None => match self.connect(address, gate.permit.begin_by()).await {
+                None => match self.connect(address, gate.permit.latest_start()).await {
                     Some(link) => (link, false),
                     // That it could wait no longer says nothing of the node.
                     None => match gate.in_time(Stage::Chosen) {
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -49,7 +49,7 @@
             news(&mut ready);
             let at = nodes.pools.borrow().places.get(&node).map(|(place, _)| place.address);
             let (pools, counters) = (nodes.pools.clone(), nodes.counters.clone());
-            let permit = Rc::new(SendPermit::until(Instant::now() + Duration::from_secs(60)));
+            let permit = Rc::new(SendPermit::expiring_at(Instant::now() + Duration::from_secs(60)));
             let gate = Gate { pools, counters, node, address: at, permit };
             if gate.admits(Stage::Chosen, None).is_err() || at != Some(address) {
                 assert!(!ready, "seed {seed}");
@@ -136,7 +136,7 @@
             let (now, far) = (Instant::now(), Instant::now() + Duration::from_secs(60));
             let gone = Rc::new(Cell::new(false));
             let leaves = gone.clone();
-            let last = Rc::new(Cell::new(None));
+            let last = Rc::<crate::core::ShutdownDeadline>::default();
             let permit = Rc::new(SendPermit {
                 expires_at: if change == 1 { now } else { far },
                 retry_window_ends_at: Some(if change == 2 { now } else { far }),
@@ -145,7 +145,7 @@
                 written: Cell::default(),
             });
             let happens = || match change {
-                3 => last.set(Some(now)),
+                3 => last.set(now),
                 4 => gone.set(true),
                 _ => {}
             };
@@ -204,7 +204,7 @@
         runtime.block_on(async {
             let (nodes, counters) = nodes_at(address);
             let far = Instant::now() + Duration::from_secs(60);
-            let first = nodes.send(NodeId(1), &read_of("1"), &Rc::new(SendPermit::until(far))).await;
+            let first = nodes.send(NodeId(1), &read_of("1"), &Rc::new(SendPermit::expiring_at(far))).await;
             assert_eq!((first.outcome, &first.body.buffered[..]), (AttemptOutcome::Ok, &b"right"[..]));
             let mut stream = streams.recv().expect("the first connection");
             tokio::time::sleep(REST * 2).await;
@@ -218,7 +218,7 @@
                 }
                 true
             }));
-            let permit = Rc::new(SendPermit { client: Some(Rc::new(act)), ..SendPermit::until(far) });
+            let permit = Rc::new(SendPermit { client: Some(Rc::new(act)), ..SendPermit::expiring_at(far) });
             let reply = nodes.send(NodeId(1), &read_of("2"), &permit).await;
             assert_eq!(
                 (reply.outcome, &reply.body.buffered[..]),
@@ -254,7 +254,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let (nodes, counters) = nodes_at(address);
-        let permit = || Rc::new(SendPermit::until(Instant::now() + Duration::from_secs(60)));
+        let permit = || Rc::new(SendPermit::expiring_at(Instant::now() + Duration::from_secs(60)));
         for (id, rests) in [("1", 0), ("2", 60), ("3", 60)] {
             let reply = nodes.send(NodeId(1), &read_of(id), &permit()).await;
             assert_eq!(
@@ -292,7 +292,7 @@
         for (length, expected) in [(10usize, WriteProgress::Complete), (32 << 20, WriteProgress::Partial)] {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let (nodes, _) = nodes_at(listener.local_addr().expect("an address"));
-            let permit = Rc::new(SendPermit::until(Instant::now() + Duration::from_secs(60)));
+            let permit = Rc::new(SendPermit::expiring_at(Instant::now() + Duration::from_secs(60)));
             let envelope = NodeRequest {
                 operation: Operation::Write,
                 payload: Payload::Buffered(vec![0; length].into()),
@@ -318,7 +318,7 @@
         }
         let (address, _full) = full().await;
         let (nodes, _) = nodes_at(address);
-        let permit = Rc::new(SendPermit::until(Instant::now() + Duration::from_secs(60)));
+        let permit = Rc::new(SendPermit::expiring_at(Instant::now() + Duration::from_secs(60)));
         let envelope = read_of("1");
         let sending = nodes.send(NodeId(1), &envelope, &permit);
         assert!(timeout_at(Instant::now() + REST, sending).await.is_err(), "it is not up");
@@ -338,14 +338,17 @@
             let (now, far) = (Instant::now(), Instant::now() + Duration::from_secs(60));
             let soon = Some(now + REST * 2);
             let permit =
-                SendPermit { retry_window_ends_at: soon.filter(|_| window), ..SendPermit::until(far) };
-            permit.shutdown_deadline.set(soon.filter(|_| last));
+                SendPermit { retry_window_ends_at: soon.filter(|_| window), ..SendPermit::expiring_at(far) };
+            if let Some(soon) = soon.filter(|_| last) {
+                permit.shutdown_deadline.set(soon);
+            }
             let reply = nodes.send(NodeId(1), &read_of("1"), &Rc::new(permit)).await;
             assert_eq!(reply.outcome, AttemptOutcome::NotSent);
             assert!(now.elapsed() < Duration::from_secs(3), "{:?}", now.elapsed());
         }
-        let reply =
-            nodes.send(NodeId(1), &read_of("1"), &Rc::new(SendPermit::until(Instant::now() + REST))).await;
+        let reply = nodes
+            .send(NodeId(1), &read_of("1"), &Rc::new(SendPermit::expiring_at(Instant::now() + REST)))
+            .await;
         assert_eq!(reply.outcome, AttemptOutcome::ConnectFailed, "its time was over, and it never came up");
         let counted = [&counters.held_back_window, &counters.held_back_end, &counters.held_back_deadline];
         assert_eq!(counted.map(Counter::get), [1, 1, 1]);
--- a/src/plugin.rs
+++ b/src/plugin.rs
@@ -180,11 +180,11 @@
 }
 
 impl Observer for Plugin {
-    fn taken(&self, call: &Call) {
+    fn request_accepted(&self, call: &Call) {
         self.call(REQUEST_HOOK, request_fields(call));
     }
 
-    fn answered(&self, call: &Call, answer: &Answer, after: Duration) {
-        self.call(RESPONSE_HOOK, response_fields(call, answer, after));
+    fn request_answered(&self, call: &Call, answer: &Answer, latency: Duration) {
+        self.call(RESPONSE_HOOK, response_fields(call, answer, latency));
     }
 }
--- a/src/shedding/controller.rs
+++ b/src/shedding/controller.rs
@@ -84,7 +84,7 @@
 
     fn switch_off(&self) {
         log::info!("levels: off");
-        self.parts.dispatcher.monitor(None);
+        self.parts.dispatcher.set_load_monitor(None);
     }
 
     fn switch_on(&self, settings: SheddingSettings) {
@@ -96,7 +96,7 @@
         let LevelCounts { head_level, reduced_zones, .. } = levels.level_counts();
         log::info!("levels: on, head_level={head_level}, reduced_zones={reduced_zones}");
         let monitor = LoadMonitor::new(levels, &self.parts.scheduler, now);
-        self.parts.dispatcher.monitor(Some(monitor));
+        self.parts.dispatcher.set_load_monitor(Some(monitor));
     }
 
     fn reconfigure(&self, settings: SheddingSettings) {
@@ -119,7 +119,7 @@
 
     fn evaluate(&self) {
         let ControllerParts { dispatcher, descriptors, memory, .. } = &self.parts;
-        let transitions = dispatcher.look(memory.used(), descriptors.used());
+        let transitions = dispatcher.evaluate_shedding(memory.used(), descriptors.used());
         self.handle_transitions(&transitions);
     }
 
@@ -129,7 +129,7 @@
 
     /// Calls with the monitor and the time; none where load shedding is off.
     fn with_monitor<R>(&self, call: impl FnOnce(&mut LoadMonitor, f64) -> R) -> Option<R> {
-        self.parts.dispatcher.monitored(call)
+        self.parts.dispatcher.with_load_monitor(call)
     }
 
     /// Logs each transition, and saves the levels if there is one or if the file is old.
@@ -218,7 +218,7 @@
         if let Ok(transition) = result {
             self.handle_transitions(std::slice::from_ref(transition));
             self.save(self.now());
-            self.parts.dispatcher.apply_level();
+            self.parts.dispatcher.apply_shedding_level();
         }
     }
 }
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -87,7 +87,7 @@
             payload: Payload::Buffered(Default::default()),
         };
         let until = tokio::time::Instant::now() + Duration::from_secs(5);
-        self.nodes.send(NodeId(n as u64), &envelope, &Rc::new(SendPermit::until(until))).await.outcome
+        self.nodes.send(NodeId(n as u64), &envelope, &Rc::new(SendPermit::expiring_at(until))).await.outcome
     }
 }
 
--- a/tests/peers/stand.rs
+++ b/tests/peers/stand.rs
@@ -49,7 +49,7 @@
             }),
         });
         let keeper = dispatcher.clone();
-        tokio::task::spawn_local(async move { keeper.keep_time().await });
+        tokio::task::spawn_local(async move { keeper.run_timers().await });
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         test(Stand { phases, budget, counters, dispatcher, nodes, front, listener }).await;
     });
@@ -62,7 +62,8 @@
         self.nodes.place(NodeId(1), place);
         let (node, shard, zone) = (NodeId(1), ShardId(0), ZoneId(0));
         let node = Endpoint { node, shard, started_at: 0.0, zone, state: NodeState::Ready };
-        self.dispatcher.tell(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: vec![node] }]);
+        self.dispatcher
+            .notify(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: vec![node] }]);
     }
 
     /// A client whose connection was accepted.
--- a/tests/races_core.rs
+++ b/tests/races_core.rs
@@ -199,7 +199,7 @@
             0 => draws.millis(1500),
             _ => draws.millis(3),
         };
-        let by = if self.way == Way::HeedsNoPermit { permit.expires_at } else { permit.begin_by() };
+        let by = if self.way == Way::HeedsNoPermit { permit.expires_at } else { permit.latest_start() };
         if began + connect > by {
             sleep_until(by).await;
             return AttemptResult::empty(AttemptOutcome::ConnectFailed);
@@ -282,7 +282,7 @@
         let dispatcher =
             Dispatcher::new(settings.clone(), seed, Clock::start(), counters.clone()).expect("served");
         let keeper = dispatcher.clone();
-        spawn_local(async move { keeper.keep_time().await });
+        spawn_local(async move { keeper.run_timers().await });
         let wire = Rc::new(Wire { way, draws: Draws::new(seed ^ 0x55), checker: checker.clone() });
         let node = |number: u64, state| Endpoint {
             node: NodeId(number),
@@ -292,7 +292,7 @@
             state,
         };
         let ready = [1, 2].map(|number| node(number, NodeState::Ready)).to_vec();
-        dispatcher.tell(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: ready }]);
+        dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: ready }]);
         let began = Instant::now();
         let end = began + Duration::from_millis(1500) + draws.millis(2500);
         let mut tasks = Vec::new();
@@ -372,14 +372,15 @@
                 if drains {
                     checker.draining.borrow_mut().insert(NodeId(number), at);
                     let nodes = vec![node(number, NodeState::Draining)];
-                    dispatcher.tell(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints: nodes }]);
+                    dispatcher
+                        .notify(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints: nodes }]);
                 }
             });
         }
         // Told some time before, as by SIGTERM.
         sleep_until(end - draws.millis(1000)).await;
         checker.end.set(Some(end));
-        dispatcher.finish_by(end);
+        dispatcher.set_shutdown_deadline(end);
         sleep_until(end + Duration::from_secs(1)).await;
         for task in tasks {
             checker.rule(task.is_finished(), "a request outlives the head");
@@ -416,10 +417,10 @@
                 Dispatcher::new(settings(), 1, Clock::start(), counters.clone()).expect("served");
             let (node, shard, zone) = (NodeId(1), ShardId(0), ZoneId(0));
             let node = Endpoint { node, shard, started_at: 0.0, zone, state: NodeState::Ready };
-            dispatcher.tell(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: vec![node] }]);
+            dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: vec![node] }]);
             let (now, keeper) = (Instant::now(), dispatcher.clone());
-            spawn_local(async move { keeper.keep_time().await });
-            dispatcher.finish_by(now + Duration::from_millis(500));
+            spawn_local(async move { keeper.run_timers().await });
+            dispatcher.set_shutdown_deadline(now + Duration::from_millis(500));
             let payload = Payload::Buffered(Bytes::new());
             let (verb, target, id) = (Operation::Write, "/d/1/2".into(), Bytes::from_static(b"1"));
             let envelope =
--- a/tests/races_http2.rs
+++ b/tests/races_http2.rs
@@ -77,7 +77,7 @@
             zone: ZoneId(0),
             state: NodeState::Ready,
         };
-        dispatcher.tell(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: vec![node] }]);
+        dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: vec![node] }]);
         let transport = Rc::new(Timed::default());
         let desk = Rc::new(FrontendContext {
             dispatcher: dispatcher.clone(),
@@ -94,7 +94,7 @@
         let address = listener.local_addr().expect("an address");
         tokio::task::spawn_local(front.listen(listener));
         let keeper = dispatcher.clone();
-        tokio::task::spawn_local(async move { keeper.keep_time().await });
+        tokio::task::spawn_local(async move { keeper.run_timers().await });
 
         let (mut draws, answered, reset) = (Draws(7), Rc::new(Cell::new(0u64)), Rc::new(Cell::new(0u64)));
         for round in 0..ORDERINGS / AT_ONCE {
--- a/tests/scenarios_http.rs
+++ b/tests/scenarios_http.rs
@@ -508,7 +508,9 @@
             let (verb, payload) = (Operation::Write, Payload::Buffered(vec![0; length].into()));
             let (target, id) = ("/episode-save/1/2".into(), "0000000000000001".into());
             let envelope = NodeRequest { operation: verb, target, id, idempotency_key: None, payload };
-            outcomes.push(nodes.send(NodeId(1), &envelope, &Rc::new(SendPermit::until(until))).await.outcome);
+            outcomes.push(
+                nodes.send(NodeId(1), &envelope, &Rc::new(SendPermit::expiring_at(until))).await.outcome,
+            );
         }
         assert_eq!(outcomes, [AttemptOutcome::ConnectFailed, AttemptOutcome::Reset, AttemptOutcome::Reset]);
         nodes.place(NodeId(1), node::NodeAddress { name: "s-1".into(), address, state: NodeState::Draining });
@@ -520,7 +522,7 @@
             payload: Payload::Buffered(Default::default()),
         };
         assert_eq!(
-            nodes.send(NodeId(1), &envelope, &Rc::new(SendPermit::until(until))).await.outcome,
+            nodes.send(NodeId(1), &envelope, &Rc::new(SendPermit::expiring_at(until))).await.outcome,
             AttemptOutcome::NotSent,
             "not written"
         );
@@ -579,7 +581,7 @@
                 queued.push(stream);
             }
         };
-        let permit = Rc::new(SendPermit::until(Instant::now() + PATIENCE));
+        let permit = Rc::new(SendPermit::expiring_at(Instant::now() + PATIENCE));
         let reply = tokio::select! {
             reply = nodes.send(NodeId(1), &envelope, &permit) => reply,
             () = accepting => unreachable!("it accepts for ever"),
