--- a/crates/distribution/src/selection/mod.rs
+++ b/crates/distribution/src/selection/mod.rs
@@ -3,6 +3,7 @@
 //! remaining relay is overloaded. Where both are lost, or none was found yet, the head tries all relays in turn at a
 //! bounded rate.
 
+mod events;
 mod health;
 mod ranking;
 mod relay_list;
@@ -11,12 +12,12 @@
 mod watches;
 
 use crate::random::CounterRandom;
+pub use events::{Directive, LostReason};
 use health::RelayHealth;
 use ranking::Ranking;
 pub use ranking::{rank, rank_spares};
 pub use relay_list::{Locality, RelayInfo, RelayListError, validate};
 use search::RelaySearch;
-use thiserror::Error;
 pub use timing::SelectionTiming;
 pub use watches::WatchId;
 use watches::{Watch, WatchSet};
@@ -32,48 +33,6 @@
 /// The interval of a search is shortened by up to a fifth, so that heads do not call in step.
 const MIN_SEARCH_INTERVAL_FRACTION: f64 = 0.8;
 
-/// An action for the caller.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Directive {
-    /// Open a watch, at this time at the earliest, after the version that is known by then.
-    Open {
-        /// The new watch.
-        watch_id: WatchId,
-        /// The index of the relay in the list.
-        relay: usize,
-        /// In seconds of Unix time; never later than the poll that returned this.
-        at: f64,
-    },
-    /// Close a watch, open or not. Its loss is not to be reported.
-    Close {
-        /// The watch.
-        watch_id: WatchId,
-    },
-}
-
-/// Why a watch was lost. Its text is what the log names.
-#[derive(Clone, Copy, Debug, PartialEq, Error)]
-pub enum LostReason {
-    /// No connection, or a response that is not a watch.
-    #[error("unavailable")]
-    Unavailable,
-    /// No message arrived within the timeout.
-    #[error("idle timeout")]
-    IdleTimeout,
-    /// The connection broke.
-    #[error("connection lost")]
-    ConnectionLost,
-    /// The relay ended the watch in order: it is called again soon.
-    #[error("ended by relay")]
-    EndedByRelay,
-    /// The relay is overloaded.
-    #[error("overloaded, retry_after_s={retry_after_s}")]
-    Overloaded {
-        /// Delay before the relay may be called again, in seconds.
-        retry_after_s: f64,
-    },
-}
-
 /// The head that selects its relays.
 #[derive(Clone, Debug)]
 struct HeadIdentity {
--- a/crates/distribution/tests/fleet.rs
+++ b/crates/distribution/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! Fleets of the coming size, and what may befall them: relays that restart empty or die, regions that are cut, a source
-//! that counts anew, and no relay at all. The figures that are printed stand in docs/design/distribution.md.
+//! that restarts its numbering, and no relay at all. The figures that are printed stand in docs/design/distribution.md.
 
-mod world;
+mod simulation;
 
 use flaxgap_distribution::replica::ReplicaLimits;
 use flaxgap_membership::wire::{Entry, State};
+use simulation::{Relay, RelayFailure, Simulation, SimulationPlan, localities, planned_relays, relays};
 use std::collections::BTreeMap;
-use world::{Death, Plan, Relay, World, coming_relays, localities, relays};
 
 /// Heads of the coming size.
 const HEADS: usize = 4200;
@@ -14,11 +14,11 @@
 const NODES: usize = 7100;
 /// The most that a relay may hold for lists, in bytes: its log, and 16 texts of 1 MB.
 const MOST_HELD: usize = (8 << 20) + 16 * 1_000_000;
-/// What whole lists may take in any second, in bytes: the rate, and one list more.
+/// What complete lists may take in any second, in bytes: the rate, and one list more.
 const MOST_SENT: usize = 50_000_000 + 1_000_000;
 
-fn large(seed: u64, heads: usize, relays: Vec<flaxgap_distribution::selection::RelayInfo>) -> World {
-    World::new(Plan {
+fn large(seed: u64, heads: usize, relays: Vec<flaxgap_distribution::selection::RelayInfo>) -> Simulation {
+    Simulation::new(SimulationPlan {
         seed,
         relays,
         heads: localities(2, 4, heads),
@@ -29,21 +29,21 @@
     })
 }
 
-fn drain(world: &mut World, number: usize) {
-    world.discovery.change(vec![world::node(number, State::Draining, 0.0)]);
-    world.publish();
+fn drain(simulation: &mut Simulation, number: usize) {
+    simulation.discovery.change(vec![simulation::node(number, State::Draining, 0.0)]);
+    simulation.publish();
 }
 
 fn assert_bounds(relay: &Relay) {
-    assert!(relay.most_bytes_held <= MOST_HELD, "{} bytes held", relay.most_bytes_held);
-    let sent = Relay::most_in_a_second(relay.sent_wholes.iter().copied());
+    assert!(relay.peak_bytes <= MOST_HELD, "{} bytes held", relay.peak_bytes);
+    let sent = Relay::peak_per_second(relay.sent_snapshots.iter().copied());
     assert!(sent <= MOST_SENT, "{sent} bytes in a second");
 }
 
 /// How many watches each relay has, of the heads' open ones.
-fn shares(world: &World) -> BTreeMap<usize, usize> {
+fn shares(simulation: &Simulation) -> BTreeMap<usize, usize> {
     let mut shares = BTreeMap::new();
-    for head in &world.heads {
+    for head in &simulation.heads {
         head.relays().into_iter().for_each(|relay| *shares.entry(relay).or_default() += 1);
     }
     shares
@@ -54,19 +54,21 @@
 #[test]
 fn a_relay_that_restarts_empty_serves_210_heads_within_bounds() {
     for seed in 0..10 {
-        let mut world = large(seed, 210, relays(1, 1, 1));
-        world.kill(0, Death::Refuses);
-        world.run_for(10.0);
-        assert!(world.heads.iter().all(|head| head.selection.reachable_relays() == 0 && head.known() == 0));
-        world.revive(0);
-        let took = world.run_until_holds(6.0, World::all_current);
-        let relay = &world.relays[0];
+        let mut simulation = large(seed, 210, relays(1, 1, 1));
+        simulation.kill(0, RelayFailure::ConnectionRefused);
+        simulation.run_for(10.0);
+        assert!(
+            simulation.heads.iter().all(|head| head.selection.reachable_relays() == 0 && head.known() == 0)
+        );
+        simulation.revive(0);
+        let took = simulation.run_until_holds(6.0, Simulation::all_current);
+        let relay = &simulation.relays[0];
         assert_bounds(relay);
-        assert_eq!(relay.sent_wholes.len(), 210);
+        assert_eq!(relay.sent_snapshots.len(), 210);
         println!(
             "seed {seed}: 210 heads current after {took:.1} s, {:.1} MB held at most, {:.1} MB in a second",
-            relay.most_bytes_held as f64 / 1e6,
-            Relay::most_in_a_second(relay.sent_wholes.iter().copied()) as f64 / 1e6
+            relay.peak_bytes as f64 / 1e6,
+            Relay::peak_per_second(relay.sent_snapshots.iter().copied()) as f64 / 1e6
         );
     }
 }
@@ -74,52 +76,56 @@
 /// Given a relay that restarts empty, when its heads come back with the version that it begins at, then it sends no whole
 /// list, and the next change reaches all.
 #[test]
-fn heads_that_know_the_newest_version_cost_a_restarted_relay_no_list() {
-    let mut world = large(3, 210, relays(1, 1, 1));
-    world.run_for(20.0);
-    assert!(world.all_current());
-    let before = world.relays[0].sent_wholes.len();
-    world.kill(0, Death::Refuses);
-    world.run_for(5.0);
-    world.revive(0);
-    world.run_for(6.0);
-    assert_eq!(world.relays[0].sent_wholes.len(), before);
-    assert!(world.heads.iter().all(|head| head.selection.reachable_relays() == 1));
-    drain(&mut world, 7);
-    world.run_until_holds(1.0, World::all_current);
+fn heads_at_the_newest_version_need_no_snapshot_from_a_restarted_relay() {
+    let mut simulation = large(3, 210, relays(1, 1, 1));
+    simulation.run_for(20.0);
+    assert!(simulation.all_current());
+    let before = simulation.relays[0].sent_snapshots.len();
+    simulation.kill(0, RelayFailure::ConnectionRefused);
+    simulation.run_for(5.0);
+    simulation.revive(0);
+    simulation.run_for(6.0);
+    assert_eq!(simulation.relays[0].sent_snapshots.len(), before);
+    assert!(simulation.heads.iter().all(|head| head.selection.reachable_relays() == 1));
+    drain(&mut simulation, 7);
+    simulation.run_until_holds(1.0, Simulation::all_current);
 }
 
 /// Given 4,200 heads before 20 relays, when one relay dies, then no survivor gets more than twice its even share of
-/// heads nor 60 calls in a second, no whole list is sent, and a change in any moment of the move is in force within 6 s.
+/// heads nor 60 calls in a second, no complete list is sent, and a change in any moment of the move is in force within 6 s.
 #[test]
-fn the_loss_of_one_relay_overruns_no_survivor() {
+fn the_loss_of_one_relay_overloads_no_other_relay() {
     let mut worst = (0.0_f64, 0_usize, 0.0_f64);
     // The figures of the page are of seeds 0 to 9; these are the worst of them.
     for seed in [2, 3, 7, 8] {
-        let mut world = large(seed, HEADS, coming_relays());
-        world.run_for(15.0);
-        assert!(world.all_current());
-        assert!(world.heads.iter().all(|head| head.selection.reachable_relays() == 2));
-        let wholes: usize = world.relays.iter().map(|relay| relay.sent_wholes.len()).sum();
+        let mut simulation = large(seed, HEADS, planned_relays());
+        simulation.run_for(15.0);
+        assert!(simulation.all_current());
+        assert!(simulation.heads.iter().all(|head| head.selection.reachable_relays() == 2));
+        let snapshots: usize = simulation.relays.iter().map(|relay| relay.sent_snapshots.len()).sum();
         let dead = seed as usize * 2 % 20;
-        let death = if seed % 2 == 0 { Death::Refuses } else { Death::Silent };
-        let before = shares(&world);
-        let died_at = world.now();
-        world.kill(dead, death);
+        let failure =
+            if seed % 2 == 0 { RelayFailure::ConnectionRefused } else { RelayFailure::Unresponsive };
+        let before = shares(&simulation);
+        let died_at = simulation.now();
+        simulation.kill(dead, failure);
         let mut slowest = 0.0_f64;
         for change in 0..16 {
-            drain(&mut world, 100 + change);
-            slowest = slowest.max(world.run_until_holds(6.0, World::all_current));
-            world.run_until(died_at + (change + 1) as f64);
+            drain(&mut simulation, 100 + change);
+            slowest = slowest.max(simulation.run_until_holds(6.0, Simulation::all_current));
+            simulation.run_until(died_at + (change + 1) as f64);
         }
         assert!(
-            world.heads.iter().all(|head| head.selection.reachable_relays() == 2),
+            simulation.heads.iter().all(|head| head.selection.reachable_relays() == 2),
             "two again after 16 s"
         );
-        assert_eq!(world.relays.iter().map(|relay| relay.sent_wholes.len()).sum::<usize>(), wholes);
-        let (most, calls) = most_share_and_calls(&world, dead, died_at);
+        assert_eq!(
+            simulation.relays.iter().map(|relay| relay.sent_snapshots.len()).sum::<usize>(),
+            snapshots
+        );
+        let (most, calls) = most_share_and_calls(&simulation, dead, died_at);
         println!(
-            "seed {seed}: {dead} dies ({death:?}), had {} watches; survivors have {most:.2} of the even share, \
+            "seed {seed}: {dead} dies ({failure:?}), had {} watches; survivors have {most:.2} of the even share, \
              {calls} calls in a second at most, the slowest change {slowest:.1} s",
             before[&dead]
         );
@@ -130,14 +136,14 @@
 }
 
 /// The largest share of a survivor, in even shares, and the most calls that one got in a second.
-fn most_share_and_calls(world: &World, dead: usize, since: f64) -> (f64, usize) {
-    let shares = shares(world);
+fn most_share_and_calls(simulation: &Simulation, dead: usize, since: f64) -> (f64, usize) {
+    let shares = shares(simulation);
     assert!(!shares.contains_key(&dead));
     let even = 2.0 * HEADS as f64 / 19.0;
     let most = shares.values().map(|share| *share as f64 / even).fold(0.0, f64::max);
-    let survivors = world.relays.iter().enumerate().filter(|(number, _)| *number != dead);
+    let survivors = simulation.relays.iter().enumerate().filter(|(number, _)| *number != dead);
     let calls = survivors.map(|(_, relay)| {
-        Relay::most_in_a_second(relay.asked.iter().filter(|at| **at >= since).map(|at| (*at, 1)))
+        Relay::peak_per_second(relay.asked.iter().filter(|at| **at >= since).map(|at| (*at, 1)))
     });
     (most, calls.max().unwrap_or_default())
 }
@@ -147,22 +153,23 @@
 /// than 500 calls in a second.
 #[test]
 fn the_loss_of_a_region_s_relays_moves_its_heads_to_the_other() {
-    for (death, within) in [(Death::Refuses, 3.0), (Death::Silent, 12.0)] {
-        let mut world = large(5, HEADS, coming_relays());
-        world.run_for(30.0);
-        let lost: Vec<usize> = (0..20).filter(|relay| world.relays[*relay].info.region == "r0").collect();
-        let died_at = world.now();
-        lost.iter().for_each(|relay| world.kill(*relay, death));
-        drain(&mut world, 5);
-        let took = world.run_until_holds(within, World::all_current);
-        let survivors = world.relays.iter().filter(|relay| relay.info.region == "r1");
+    for (failure, within) in [(RelayFailure::ConnectionRefused, 3.0), (RelayFailure::Unresponsive, 12.0)] {
+        let mut simulation = large(5, HEADS, planned_relays());
+        simulation.run_for(30.0);
+        let lost: Vec<usize> =
+            (0..20).filter(|relay| simulation.relays[*relay].info.region == "r0").collect();
+        let died_at = simulation.now();
+        lost.iter().for_each(|relay| simulation.kill(*relay, failure));
+        drain(&mut simulation, 5);
+        let took = simulation.run_until_holds(within, Simulation::all_current);
+        let survivors = simulation.relays.iter().filter(|relay| relay.info.region == "r1");
         let calls = survivors.map(|relay| {
             assert_bounds(relay);
-            Relay::most_in_a_second(relay.asked.iter().filter(|at| **at >= died_at).map(|at| (*at, 1)))
+            Relay::peak_per_second(relay.asked.iter().filter(|at| **at >= died_at).map(|at| (*at, 1)))
         });
         let calls = calls.max().unwrap_or_default();
         println!(
-            "a region's relays die ({death:?}): all current after {took:.1} s, {calls} calls in a second"
+            "a region's relays die ({failure:?}): all current after {took:.1} s, {calls} calls in a second"
         );
         assert!(calls <= 500);
     }
@@ -174,34 +181,34 @@
 #[test]
 fn heads_that_have_only_an_earlier_list_find_the_first_relay_back() {
     for alone in [false, true] {
-        let mut world = large(11, HEADS, coming_relays());
-        (0..20).for_each(|relay| world.kill(relay, Death::Silent));
-        world.heads.iter_mut().for_each(|head| head.remembers(30));
-        world.run_for(20.0);
-        assert!(world.heads.iter().all(|head| head.selection.reachable_relays() == 0));
-        assert!(world.heads.iter().all(|head| head.unreachable_since.is_some()));
-        for relay in &world.relays {
-            let steady = relay.asked.iter().filter(|at| **at >= world::START + 10.0).map(|at| (*at, 1));
-            let calls = Relay::most_in_a_second(steady);
+        let mut simulation = large(11, HEADS, planned_relays());
+        (0..20).for_each(|relay| simulation.kill(relay, RelayFailure::Unresponsive));
+        simulation.heads.iter_mut().for_each(|head| head.set_known_version(30));
+        simulation.run_for(20.0);
+        assert!(simulation.heads.iter().all(|head| head.selection.reachable_relays() == 0));
+        assert!(simulation.heads.iter().all(|head| head.unreachable_since.is_some()));
+        for relay in &simulation.relays {
+            let steady = relay.asked.iter().filter(|at| **at >= simulation::START + 10.0).map(|at| (*at, 1));
+            let calls = Relay::peak_per_second(steady);
             // 4,200 heads, each relay tried once in 2.88 s at the least.
             assert!(calls <= 1700, "{calls} calls in a second");
         }
         let back: Vec<usize> = if alone { vec![7] } else { (0..20).collect() };
-        back.iter().for_each(|relay| world.revive(*relay));
+        back.iter().for_each(|relay| simulation.revive(*relay));
         // The relay has its list within half a second and an answer.
-        let found = world.run_until_holds(5.0, |world| {
-            world.heads.iter().all(|head| head.selection.reachable_relays() >= 1)
+        let found = simulation.run_until_holds(5.0, |simulation| {
+            simulation.heads.iter().all(|head| head.selection.reachable_relays() >= 1)
         });
         let most = if alone { 100.0 } else { 10.0 };
-        let took = found + world.run_until_holds(most, World::all_current);
-        back.iter().for_each(|relay| assert_bounds(&world.relays[*relay]));
+        let took = found + simulation.run_until_holds(most, Simulation::all_current);
+        back.iter().for_each(|relay| assert_bounds(&simulation.relays[*relay]));
         println!("{} relays back: all found after {found:.1} s, current after {took:.1} s", back.len());
     }
 }
 
 /// The small fleet of two regions, with the list in each head.
-fn two_regions(seed: u64) -> World {
-    World::new(Plan {
+fn two_regions(seed: u64) -> Simulation {
+    Simulation::new(SimulationPlan {
         seed,
         relays: relays(2, 2, 8),
         heads: localities(2, 2, 24),
@@ -212,9 +219,9 @@
     })
 }
 
-fn state_at_heads(world: &World, region: &str, number: usize) -> Vec<Option<State>> {
-    let name = world::node(number, State::Ready, 0.0).name;
-    let heads = world.heads.iter().filter(|head| head.locality.region == region);
+fn state_at_heads(simulation: &Simulation, region: &str, number: usize) -> Vec<Option<State>> {
+    let name = simulation::node(number, State::Ready, 0.0).name;
+    let heads = simulation.heads.iter().filter(|head| head.locality.region == region);
     heads.map(|head| head.listed(&name).map(|(state, _)| state)).collect()
 }
 
@@ -225,54 +232,61 @@
 fn two_regions_cut_from_each_other_agree_after_it_heals() {
     let mut slowest = 0.0_f64;
     for seed in 0..20 {
-        let mut world = two_regions(seed);
-        world.run_for(20.0);
-        assert!(world.all_agree());
-        world.cut_off = Some("r1".into());
+        let mut simulation = two_regions(seed);
+        simulation.run_for(20.0);
+        assert!(simulation.all_agree());
+        simulation.cut_off = Some("r1".into());
         // Nodes of the cut side that stop and start; discovery learns of that when the cut heals.
         let cut_side = vec![
-            Entry { state: State::Draining, ..world::node(1, State::Ready, 0.0) },
-            world::node(3, State::Gone, 0.0),
-            world::node(61, State::Ready, world.now() + 60.0),
+            Entry { state: State::Draining, ..simulation::node(1, State::Ready, 0.0) },
+            simulation::node(3, State::Gone, 0.0),
+            simulation::node(61, State::Ready, simulation.now() + 60.0),
         ];
         for minute in 0..3 {
-            world.run_for(30.0);
+            simulation.run_for(30.0);
             let leaves = vec![
-                world::node(10 + minute, State::Gone, 0.0),
-                world::node(20 + minute, State::Draining, 0.0),
+                simulation::node(10 + minute, State::Gone, 0.0),
+                simulation::node(20 + minute, State::Draining, 0.0),
             ];
-            world.discovery.change(leaves);
-            world.publish();
-            world.run_for(6.0);
+            simulation.discovery.change(leaves);
+            simulation.publish();
+            simulation.run_for(6.0);
             assert!(
-                state_at_heads(&world, "r0", 20 + minute).iter().all(|state| *state == Some(State::Draining))
+                state_at_heads(&simulation, "r0", 20 + minute)
+                    .iter()
+                    .all(|state| *state == Some(State::Draining))
             );
             assert!(
-                state_at_heads(&world, "r1", 20 + minute).iter().all(|state| *state == Some(State::Ready))
+                state_at_heads(&simulation, "r1", 20 + minute)
+                    .iter()
+                    .all(|state| *state == Some(State::Ready))
             );
-            for head in world.heads.iter().filter(|head| head.locality.region == "r1") {
+            for head in simulation.heads.iter().filter(|head| head.locality.region == "r1") {
                 assert_eq!(head.selection.reachable_relays(), 0);
                 assert!(head.unreachable_since.is_some());
             }
-            world.run_for(24.0);
+            simulation.run_for(24.0);
         }
-        world.cut_off = None;
-        world.discovery.change(cut_side);
-        world.publish();
-        let took = world.run_until_holds(8.0, |world| world.all_current() && world.all_agree());
+        simulation.cut_off = None;
+        simulation.discovery.change(cut_side);
+        simulation.publish();
+        let took =
+            simulation.run_until_holds(8.0, |simulation| simulation.all_current() && simulation.all_agree());
         slowest = slowest.max(took);
         for _ in 0..30 {
-            world.run_for(1.0);
-            assert!(world.all_agree());
+            simulation.run_for(1.0);
+            assert!(simulation.all_agree());
         }
         for gone in [3, 10, 11, 12] {
-            assert!(["r0", "r1"].iter().all(|r| state_at_heads(&world, r, gone).iter().all(Option::is_none)));
+            assert!(
+                ["r0", "r1"].iter().all(|r| state_at_heads(&simulation, r, gone).iter().all(Option::is_none))
+            );
         }
-        for relay in &world.relays {
-            assert_eq!(relay.sent_uncurrent, 0);
+        for relay in &simulation.relays {
+            assert_eq!(relay.sent_while_expired, 0);
         }
-        for head in &world.heads {
-            assert_eq!(head.wrong, Vec::<String>::new());
+        for head in &simulation.heads {
+            assert_eq!(head.violations, Vec::<String>::new());
         }
     }
     println!("two regions agree {slowest:.1} s after the cut heals");
@@ -281,50 +295,55 @@
 /// Given discovery is replaced by one with its own numbering and other nodes, when time passes, then all heads agree with
 /// it within 25 s, and a node that was draining comes back by no older list.
 #[test]
-fn a_source_with_its_own_numbering_is_learnt_by_all_heads() {
+fn a_renumbered_source_is_detected_by_all_heads() {
     let mut slowest = 0.0_f64;
     for seed in 0..20 {
-        let mut world = two_regions(seed);
+        let mut simulation = two_regions(seed);
         for number in 0..30 {
-            world.discovery.change(vec![world::node(number % 5, State::Ready, f64::from(number as u32 + 1))]);
+            simulation.discovery.change(vec![simulation::node(
+                number % 5,
+                State::Ready,
+                f64::from(number as u32 + 1),
+            )]);
         }
-        world.discovery.change(vec![world::node(7, State::Draining, 0.0)]);
-        world.run_for(20.0);
-        assert!(world.all_agree());
-        world.discovery.renumber(3);
-        world.discovery.change(vec![world::node(8, State::Gone, 0.0)]);
-        world.publish();
-        let took = world.run_until_holds(25.0, |world| world.all_current() && world.all_agree());
+        simulation.discovery.change(vec![simulation::node(7, State::Draining, 0.0)]);
+        simulation.run_for(20.0);
+        assert!(simulation.all_agree());
+        simulation.discovery.renumber(3);
+        simulation.discovery.change(vec![simulation::node(8, State::Gone, 0.0)]);
+        simulation.publish();
+        let took =
+            simulation.run_until_holds(25.0, |simulation| simulation.all_current() && simulation.all_agree());
         slowest = slowest.max(took);
-        world.discovery.change(vec![world::node(9, State::Draining, 0.0)]);
-        world.publish();
-        world.run_until_holds(1.0, |world| world.all_current() && world.all_agree());
-        assert!(state_at_heads(&world, "r0", 7).iter().all(|state| *state == Some(State::Draining)));
+        simulation.discovery.change(vec![simulation::node(9, State::Draining, 0.0)]);
+        simulation.publish();
+        simulation.run_until_holds(1.0, |simulation| simulation.all_current() && simulation.all_agree());
+        assert!(state_at_heads(&simulation, "r0", 7).iter().all(|state| *state == Some(State::Draining)));
     }
-    println!("a source that counts anew is learnt by all within {slowest:.1} s");
+    println!("a source that restarts its numbering is detected by all within {slowest:.1} s");
 }
 
-/// Given a source that gives whole lists only, and skips versions, when the list changes, then each change is in force as
+/// Given a source that gives complete lists only, and skips versions, when the list changes, then each change is in force as
 /// soon as others, and heads are sent the changes alone.
 #[test]
-fn whole_lists_from_upstream_reach_heads_as_changes() {
+fn snapshots_from_upstream_reach_heads_as_changes() {
     for seed in 0..20 {
-        let mut world = two_regions(seed);
-        world.discovery.only_whole = true;
-        world.run_for(20.0);
-        let wholes: usize = world.heads.iter().map(|head| head.wholes).sum();
+        let mut simulation = two_regions(seed);
+        simulation.discovery.sends_snapshots_only = true;
+        simulation.run_for(20.0);
+        let snapshots: usize = simulation.heads.iter().map(|head| head.snapshots).sum();
         for number in 0..10 {
-            world.discovery.skip(u64::from(seed % 3 == 0) * 4);
-            drain(&mut world, number);
-            world.run_until_holds(6.0, |world| world.all_current() && world.all_agree());
+            simulation.discovery.skip(u64::from(seed % 3 == 0) * 4);
+            drain(&mut simulation, number);
+            simulation.run_until_holds(6.0, |simulation| simulation.all_current() && simulation.all_agree());
             // Each relay hears each version: who misses one can't tell what changed back meanwhile.
-            world.run_for(1.0);
+            simulation.run_for(1.0);
         }
         if seed % 3 != 0 {
-            assert_eq!(world.heads.iter().map(|head| head.wholes).sum::<usize>(), wholes);
+            assert_eq!(simulation.heads.iter().map(|head| head.snapshots).sum::<usize>(), snapshots);
         }
-        for head in &world.heads {
-            assert_eq!(head.wrong, Vec::<String>::new());
+        for head in &simulation.heads {
+            assert_eq!(head.violations, Vec::<String>::new());
         }
     }
 }
@@ -333,17 +352,18 @@
 #[test]
 fn heads_leave_relays_that_have_lost_discovery() {
     for seed in 0..20 {
-        let mut world = two_regions(seed);
-        world.run_for(20.0);
+        let mut simulation = two_regions(seed);
+        simulation.run_for(20.0);
         for relay in [0, 1, 2, 4, 5] {
-            world.relays[relay].without_upstream = true;
+            simulation.relays[relay].without_upstream = true;
         }
-        drain(&mut world, 7);
+        drain(&mut simulation, 7);
         // The lease, the silence that a head bears, and the search.
-        let took = world.run_until_holds(14.0, |world| world.all_current() && world.all_agree());
-        assert!(world.relays.iter().all(|relay| relay.sent_uncurrent == 0));
-        world.run_for(30.0);
-        for head in &world.heads {
+        let took =
+            simulation.run_until_holds(14.0, |simulation| simulation.all_current() && simulation.all_agree());
+        assert!(simulation.relays.iter().all(|relay| relay.sent_while_expired == 0));
+        simulation.run_for(30.0);
+        for head in &simulation.heads {
             assert!(
                 head.relays().iter().all(|relay| ![0, 1, 2, 4, 5].contains(relay)),
                 "seed {seed}, {took}"
--- a/crates/distribution/tests/replica.rs
+++ b/crates/distribution/tests/replica.rs
@@ -26,7 +26,7 @@
     List::parse(text).expect("a list that can be read")
 }
 
-/// A copy that has heard one whole list.
+/// A copy that has heard one complete list.
 fn replica(rev: u64, entries: &[Entry], limits: ReplicaLimits) -> Replica {
     let mut replica = Replica::new(limits);
     replica.apply(list(rev, true, entries), NOW).expect("applied");
@@ -70,7 +70,7 @@
     }
 }
 
-/// Given a copy, when its whole list and its records are read, then they hold what upstream said, in the published form.
+/// Given a copy, when its complete list and its records are read, then they hold what upstream said, in the published form.
 #[test]
 fn lists_are_written_in_the_published_form() {
     let entries = [entry("a", Ready, 12.5), entry("b", Draining, 0.0)];
@@ -93,7 +93,7 @@
 
 /// Guards against a text for each reader: a list of the coming size is encoded once for each version.
 #[test]
-fn a_whole_list_is_encoded_once_for_each_version() {
+fn a_snapshot_is_encoded_once_for_each_version() {
     let mut replica = replica(41, &[entry("a", Ready, 0.0)], ReplicaLimits::default());
     let (first, second) = (replica.snapshot().expect("a list"), replica.snapshot().expect("a list"));
     assert_eq!(first.as_ptr(), second.as_ptr());
@@ -119,9 +119,9 @@
 }
 
 /// Given more changes than the log may hold, by number or by bytes, when one resumes, then the first version that the log
-/// leads on from serves, and the one below it gets the whole list; the log keeps its bounds at each step.
+/// leads on from serves, and the one below it gets the complete list; the log keeps its bounds at each step.
 #[test]
-fn the_log_keeps_its_bounds_and_serves_from_its_first_version() {
+fn the_log_keeps_its_bounds_and_serves_from_its_compacted_version() {
     let by_number = ReplicaLimits { log_records: 5, ..ReplicaLimits::default() };
     let by_bytes = ReplicaLimits { log_bytes: 700, ..ReplicaLimits::default() };
     for limits in [by_number, by_bytes] {
@@ -138,9 +138,9 @@
     }
 }
 
-/// Given a change that is larger than the whole log, when it comes, then it is not split, and all get the whole list.
+/// Given a change that is larger than the whole log, when it comes, then it is not split, and all get the complete list.
 #[test]
-fn a_change_over_the_bound_is_dropped_as_a_whole() {
+fn a_record_over_the_bound_is_compacted_at_once() {
     let limits = ReplicaLimits { log_bytes: 300, ..ReplicaLimits::default() };
     let mut replica = replica(41, &[], limits);
     let Resume::Changes { from } = replica.resume(41, NOW) else { panic!("current") };
@@ -152,27 +152,27 @@
     assert!(matches!(replica.resume(42, NOW), Resume::Changes { .. }));
 }
 
-/// Given a whole list in place of changes, when it has a new version, then the record has what differs, and who left.
+/// Given a complete list in place of changes, when it has a new version, then the record has what differs, and who left.
 #[test]
-fn of_a_whole_list_only_what_changed_is_told() {
+fn of_a_snapshot_from_upstream_only_changes_are_sent() {
     let first = [entry("a", Ready, 0.0), entry("b", Ready, 0.0), entry("c", Ready, 0.0)];
     let mut replica = replica(41, &first, ReplicaLimits::default());
     let second = [entry("a", Ready, 0.0), entry("b", Draining, 0.0), entry("d", Ready, 7.0)];
     let applied = replica.apply(list(42, true, &second), NOW).expect("applied");
     assert_eq!((applied.changed_entries, applied.version), (3, 42));
     let records = records_since(&replica, 41, NOW);
-    let told: BTreeMap<&str, State> =
+    let sent: BTreeMap<&str, State> =
         records[0].entries.iter().map(|entry| (entry.name.as_str(), entry.state)).collect();
-    assert_eq!(told, [("b", Draining), ("c", Gone), ("d", Ready)].into());
+    assert_eq!(sent, [("b", Draining), ("c", Gone), ("d", Ready)].into());
     // The same once more says nothing.
     assert_eq!(replica.apply(list(42, true, &second), NOW).expect("applied").changed_entries, 0);
     assert_eq!(records_since(&replica, 41, NOW).len(), 1);
 }
 
 /// Given a node that drained and was called back while the relay heard nothing, when one who saw the drain elsewhere
-/// comes, then it gets the whole list: the record of what differs does not name the node.
+/// comes, then it gets the complete list: the record of what differs does not name the node.
 #[test]
-fn a_record_over_skipped_versions_serves_nobody_from_between() {
+fn a_record_that_skips_versions_serves_no_watcher_in_between() {
     let first = [entry("a", Ready, 0.0), entry("b", Ready, 0.0)];
     let mut replica = replica(41, &first, ReplicaLimits::default());
     replica
@@ -190,7 +190,7 @@
 /// Given a list that is older than what is known, when it says that a node drains, then all who know this version are
 /// told; and when the node is called back by a list as new, then every head has it back with the next version.
 #[test]
-fn a_drain_told_late_reaches_all_and_is_taken_back_for_all() {
+fn a_late_drain_reaches_all_heads_and_is_reverted_for_all() {
     let ready = [entry("a", Ready, 0.0), entry("b", Ready, 0.0)];
     let mut replica = replica(41, &ready, ReplicaLimits::default());
     let (mut early, mut late) = (Head::default(), Head::default());
@@ -202,7 +202,7 @@
     }
     late.hear(parse(&replica.snapshot().expect("a list")), NOW);
     assert_eq!((early.state("a"), late.state("a")), (Some(Draining), Some(Draining)));
-    // The source catches up without a word on the node: the whole list is wanted.
+    // The source catches up without a word on the node: the complete list is wanted.
     replica.apply(list(41, false, &[]), NOW).expect("applied");
     assert!(replica.needs_relist(NOW));
     replica.apply(list(41, true, &ready), NOW).expect("applied");
@@ -215,14 +215,14 @@
     assert_eq!((early.state("a"), late.state("a")), (Some(Ready), Some(Ready)));
 }
 
-/// Given a new entry that can't be read, when a head that knows its node gets the relay's whole list, then it keeps the
+/// Given a new entry that can't be read, when a head that knows its node gets the relay's complete list, then it keeps the
 /// node; and when the node leaves, then it is told so.
 #[test]
-fn an_entry_that_cant_be_read_takes_no_node_from_a_head() {
+fn an_unparsed_entry_removes_no_node_from_a_head() {
     let spoilt = Unread { place: 1, name: Some("b".into()), problem: "endpoint".into() };
     let mut replica = Replica::new(ReplicaLimits::default());
-    let whole = List { unread: vec![spoilt], ..list(41, true, &[entry("a", Ready, 0.0)]) };
-    let applied = replica.apply(whole, NOW).expect("applied");
+    let snapshot = List { unread: vec![spoilt], ..list(41, true, &[entry("a", Ready, 0.0)]) };
+    let applied = replica.apply(snapshot, NOW).expect("applied");
     assert_eq!(applied.unparsed, 1);
     let mut head = Head::default();
     head.hear(list(40, true, &[entry("a", Ready, 0.0), entry("b", Ready, 0.0)]), NOW);
@@ -238,7 +238,7 @@
 
 /// Given a change in which a known node can't be read, when it is taken in, then what was known of the node stands.
 #[test]
-fn a_spoilt_change_leaves_what_was_known() {
+fn an_unparsed_change_leaves_the_known_entry() {
     let mut replica =
         replica(41, &[entry("a", Ready, 0.0), entry("b", Ready, 0.0)], ReplicaLimits::default());
     let spoilt = Unread { place: 0, name: Some("a".into()), problem: "endpoint".into() };
@@ -252,7 +252,7 @@
 
 /// Given a drain without an address, a shard or a start, when it is passed on, then it has what was known of the node.
 #[test]
-fn a_drain_is_completed_by_what_is_known() {
+fn a_drain_is_completed_from_the_known_entry() {
     let mut replica = replica(41, &[entry("a", Ready, 7.0)], ReplicaLimits::default());
     let bare = Entry { address: None, shard: None, zone: String::new(), ..entry("a", Draining, 0.0) };
     replica.apply(list(42, false, &[bare]), NOW).expect("applied");
@@ -263,14 +263,14 @@
 /// head behind it lists what one that hears upstream itself does. A word that is newer than a node's drain ends it, also
 /// in a list that is behind.
 #[test]
-fn versions_that_go_back_repeat_or_skip_do_no_harm() {
+fn lists_with_stale_repeated_or_skipped_versions_do_no_harm() {
     let mut replica =
         replica(41, &[entry("a", Draining, 0.0), entry("b", Ready, 0.0)], ReplicaLimits::default());
     let mut head = Head::default();
     head.hear(parse(&replica.snapshot().expect("a list")), NOW);
     let mut direct = Head::default();
     direct.hear(parse(&replica.snapshot().expect("a list")), NOW);
-    let told = [
+    let received = [
         list(40, true, &[entry("a", Ready, 0.0), entry("c", Ready, 0.0)]),
         list(41, false, &[entry("b", Ready, 0.0)]),
         list(41, true, &[entry("a", Draining, 0.0), entry("b", Ready, 0.0)]),
@@ -278,7 +278,7 @@
         list(43, false, &[entry("a", Ready, 0.0)]),
         list(60, false, &[entry("b", Draining, 0.0)]),
     ];
-    for list in told {
+    for list in received {
         direct.hear(list.clone(), NOW + 1.0);
         let drains = list.rev != 43 && head.state("a") == Some(Draining);
         let before = replica.version();
@@ -297,10 +297,10 @@
     assert_eq!(replica.generation(), 0);
 }
 
-/// Given a source with its own numbering, when it has been behind for the time that membership states, then its whole list
+/// Given a source with its own numbering, when it has been behind for the time that membership states, then its complete list
 /// stands: the generation is another, and nobody resumes from the old one's log.
 #[test]
-fn a_source_that_counts_anew_renews_log_and_generation() {
+fn a_renumbered_source_resets_log_and_generation() {
     let mut replica =
         replica(900, &[entry("a", Ready, 0.0), entry("b", Ready, 0.0)], ReplicaLimits::default());
     replica.apply(list(901, false, &[entry("a", Draining, 0.0)]), NOW).expect("applied");
@@ -324,7 +324,7 @@
 
 /// Given the lease, when its end comes, then the copy says of itself that it is not current, until upstream is heard.
 #[test]
-fn the_lease_ends_what_may_be_told() {
+fn an_expired_lease_ends_serving() {
     let mut replica = Replica::new(ReplicaLimits::default());
     replica.renew_lease(NOW);
     assert_eq!((replica.status(NOW), replica.resume(0, NOW)), (ReplicaStatus::Empty, Resume::NotCurrent));
--- a/crates/distribution/tests/selection.rs
+++ b/crates/distribution/tests/selection.rs
@@ -1,13 +1,13 @@
 //! Which relays a head follows, and at what pace it opens and moves its watches.
 
-mod world;
+mod simulation;
 
 use flaxgap_distribution::selection::{
     Directive, Locality, LostReason, RelayInfo, RelayListError, Selection, SelectionTiming, WatchId, rank,
     rank_spares, validate,
 };
+use simulation::{localities, planned_relays};
 use std::collections::{BTreeMap, BTreeSet};
-use world::{coming_relays, localities};
 
 const NOW: f64 = 1000.0;
 
@@ -105,7 +105,7 @@
 /// Given relays without a name, or with a name or an address twice, when they are checked, then each is refused.
 #[test]
 fn a_list_of_relays_is_checked() {
-    let good = coming_relays();
+    let good = planned_relays();
     assert_eq!(validate(&good), Ok(()));
     assert_eq!(validate(&[]), Ok(()));
     let spoil = |change: fn(&mut RelayInfo, &RelayInfo)| {
@@ -129,9 +129,9 @@
 #[test]
 fn the_order_is_the_same_on_every_machine() {
     let locality = Locality { region: "r0".into(), zone: "z0".into() };
-    let order = rank("head-1", &locality, &coming_relays());
+    let order = rank("head-1", &locality, &planned_relays());
     assert_eq!(order, GOLDEN_ORDER);
-    let mut turned = coming_relays();
+    let mut turned = planned_relays();
     turned.reverse();
     let turned: Vec<usize> = rank("head-1", &locality, &turned).into_iter().map(|place| 19 - place).collect();
     assert_eq!(order, turned, "the order of the list does not matter");
@@ -142,8 +142,8 @@
 /// Given relays in zones and regions, when a head ranks them, then its zone is first, its region next; a spare is in
 /// another zone of the region, and on another machine.
 #[test]
-fn near_relays_come_first_and_spares_stand_elsewhere() {
-    let relays = coming_relays();
+fn near_relays_rank_first_and_spares_are_in_other_zones() {
+    let relays = planned_relays();
     for (number, locality) in localities(2, 4, 200).iter().enumerate() {
         let name = format!("head-{number}");
         let order = rank(&name, locality, &relays);
@@ -172,7 +172,7 @@
 /// any one relay spread over all relays of the region's other zones.
 #[test]
 fn heads_and_the_spares_of_each_relay_are_spread() {
-    let relays = coming_relays();
+    let relays = planned_relays();
     let mut heads_of: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
     for (number, locality) in localities(2, 4, 4200).iter().enumerate() {
         let name = format!("head-{number}");
@@ -196,9 +196,9 @@
 /// Given all relays up, when a head starts, then it has its best relay within a second, its spare within ten more, and
 /// nothing else; then it stays as it is.
 #[test]
-fn a_head_takes_its_best_relay_and_then_a_spare() {
+fn a_head_watches_its_best_relay_and_then_a_spare() {
     for seed in 0..50 {
-        let relays = coming_relays();
+        let relays = planned_relays();
         let mut head = Driver::new(selection("head-1", relays.clone(), seed), 0..20);
         assert_eq!(head.selection.reachable_relays(), 0);
         head.run(1.01);
@@ -219,7 +219,7 @@
 fn the_spare_takes_over_at_once() {
     let mut delays = Vec::new();
     for seed in 0..200 {
-        let mut head = Driver::new(selection("head-1", coming_relays(), seed), 0..20);
+        let mut head = Driver::new(selection("head-1", planned_relays(), seed), 0..20);
         head.run(12.0);
         let (lost, spare) =
             (head.primary(), *head.held().iter().find(|r| **r != head.primary()).expect("two"));
@@ -244,10 +244,10 @@
 /// Given a better relay has come back, when the head returns, then that takes a drawn time within two minutes, and the
 /// new watch speaks before the old one is closed.
 #[test]
-fn a_head_returns_slowly_and_makes_before_it_breaks() {
+fn failback_is_delayed_and_opens_before_it_closes() {
     let mut delays = Vec::new();
     for seed in 0..200 {
-        let mut head = Driver::new(selection("head-1", coming_relays(), seed), 0..20);
+        let mut head = Driver::new(selection("head-1", planned_relays(), seed), 0..20);
         head.run(12.0);
         let (lost, before) = (head.primary(), head.held());
         head.lose(lost, LostReason::ConnectionLost);
@@ -269,8 +269,8 @@
 /// Given a relay that fails again and again, when the head leaves it alone, then for a longer time after each failure,
 /// up to a minute and the return's minute.
 #[test]
-fn a_failing_relay_is_left_alone_for_longer_and_longer() {
-    let mut head = Driver::new(selection("head-1", coming_relays(), 5), 0..20);
+fn a_failing_relay_gets_exponential_backoff() {
+    let mut head = Driver::new(selection("head-1", planned_relays(), 5), 0..20);
     head.run(12.0);
     let lost = head.primary();
     head.lose(lost, LostReason::ConnectionLost);
@@ -287,7 +287,7 @@
 fn a_relay_that_returns_first_is_found_within_4_s() {
     for count in [1, 2, 7, 20, 60] {
         for seed in 0..40 {
-            let relays = world::relays(2, 4, count);
+            let relays = simulation::relays(2, 4, count);
             let mut head = Driver::new(selection("head-1", relays, seed), []);
             head.silent = seed % 2 == 0;
             head.run(30.0 + seed as f64 / 7.0);
@@ -320,8 +320,8 @@
 
 /// Given one relay alone is up, when the head has it and all others fail, then it does not poll without a pause.
 #[test]
-fn a_head_whose_other_relays_all_fail_does_not_spin() {
-    let mut head = Driver::new(selection("head-1", coming_relays(), 4), [13]);
+fn a_head_whose_other_relays_all_fail_does_not_poll_in_a_loop() {
+    let mut head = Driver::new(selection("head-1", planned_relays(), 4), [13]);
     head.run(4.7);
     assert_eq!(head.held(), [13].into());
     let before = head.tried.len();
@@ -331,8 +331,8 @@
 
 /// Given a relay that asks to come again later, when the head goes on, then not before that time.
 #[test]
-fn a_busy_relay_is_asked_again_no_sooner_than_it_said() {
-    let mut head = selection("head-1", world::relays(1, 1, 1), 3);
+fn an_overloaded_relay_is_called_again_after_its_retry_delay() {
+    let mut head = selection("head-1", simulation::relays(1, 1, 1), 3);
     let mut now = NOW;
     let watch_id = loop {
         if let Some(Directive::Open { watch_id, .. }) = head.poll(now).first() {
@@ -341,19 +341,19 @@
         now += 0.1;
     };
     head.watch_lost(watch_id, LostReason::Overloaded { retry_after_s: 7.0 }, now);
-    let told_at = now;
+    let rejected_at = now;
     while head.poll(now).is_empty() {
         now += 0.1;
-        assert!(now < told_at + 12.0);
+        assert!(now < rejected_at + 12.0);
     }
-    assert!(now - told_at >= 7.0);
+    assert!(now - rejected_at >= 7.0);
 }
 
 /// Given a relay that ends a watch in due form, when the head goes on, then it comes again to that relay without a pause
 /// for failures; to one that ends each watch at once it does not.
 #[test]
 fn an_orderly_end_is_no_failure() {
-    let mut head = Driver::new(selection("head-1", coming_relays(), 9), 0..20);
+    let mut head = Driver::new(selection("head-1", planned_relays(), 9), 0..20);
     head.run(12.0);
     let (primary, held) = (head.primary(), head.held());
     head.lose(primary, LostReason::EndedByRelay);
@@ -382,13 +382,13 @@
 /// Given another list of relays, when it is in force, then watches on relays that stay stand, those on others end, and
 /// the head comes to what the new list asks for.
 #[test]
-fn another_list_of_relays_moves_only_what_it_must() {
-    let mut head = Driver::new(selection("head-1", coming_relays(), 11), 0..20);
+fn a_changed_list_of_relays_closes_only_watches_on_removed_relays() {
+    let mut head = Driver::new(selection("head-1", planned_relays(), 11), 0..20);
     head.run(12.0);
     let (primary, held) = (head.primary(), head.held());
     let spare = *held.iter().find(|relay| **relay != primary).expect("a spare");
     // The spare leaves, and places change.
-    let mut relays = coming_relays();
+    let mut relays = planned_relays();
     let (kept_name, gone_name) = (relays[primary].name.clone(), relays[spare].name.clone());
     relays.retain(|relay| relay.name != gone_name);
     relays.reverse();
@@ -407,12 +407,12 @@
     let place = head.primary();
     relays[place].address = ([10, 9, 9, 77], 7400).into();
     assert_eq!(head.selection.replace_relays(relays, head.now).expect("relays").len(), 1);
-    assert!(head.selection.replace_relays(vec![coming_relays()[0].clone(); 2], head.now).is_err());
+    assert!(head.selection.replace_relays(vec![planned_relays()[0].clone(); 2], head.now).is_err());
 }
 
 /// Guards against a pace that was changed without its page.
 #[test]
-fn the_paces_are_those_that_the_page_states() {
+fn the_default_timing_matches_the_design_page() {
     let timing = SelectionTiming::default();
     assert!(
         timing.search_sweep_s <= 4.0
@@ -424,8 +424,8 @@
 /// Given one relay that speaks and another that refuses each call, then the head is polled a few times a second at most,
 /// also while the second watch is due and no relay may be tried for it: it had kept a core busy until one could.
 #[test]
-fn a_second_watch_that_no_relay_may_give_yet_is_not_polled_for_without_an_end() {
-    let mut selection = selection("head-1", coming_relays().into_iter().take(2).collect(), 1);
+fn a_second_watch_without_an_eligible_relay_is_not_polled_in_a_loop() {
+    let mut selection = selection("head-1", planned_relays().into_iter().take(2).collect(), 1);
     let (mut now, mut open, mut polls) = (NOW, None, 0u32);
     while now < NOW + 60.0 {
         for directive in selection.poll(now) {
--- a/crates/distribution/tests/world/discovery.rs
+++ b/crates/distribution/tests/simulation/discovery.rs
@@ -1,10 +1,10 @@
-//! Discovery: one order of versions, the list at its newest, and which word on a node held when.
+//! Discovery: one order of versions, the list at its newest, and which state on a node held when.
 
 use flaxgap_membership::wire::{Entry, List, State};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a list says of a node; none where it is not listed.
-pub type Said = Option<(State, u64)>;
+pub type ListedState = Option<(State, u64)>;
 
 pub struct Discovery {
     version: u64,
@@ -12,12 +12,12 @@
     /// The names that each version changed.
     changed: BTreeMap<u64, BTreeSet<String>>,
     /// What held of each node from which version on, since versions were last counted anew.
-    words: BTreeMap<String, Vec<(u64, Said)>>,
-    /// Each answer is the whole list.
-    pub only_whole: bool,
+    history: BTreeMap<String, Vec<(u64, ListedState)>>,
+    /// Each answer is the complete list.
+    pub sends_snapshots_only: bool,
 }
 
-pub fn said(entry: &Entry) -> Said {
+pub fn listed_state(entry: &Entry) -> ListedState {
     (entry.state != State::Gone).then_some((entry.state, (entry.boot * 1000.0) as u64))
 }
 
@@ -40,8 +40,8 @@
             version: 41,
             listed: BTreeMap::new(),
             changed: BTreeMap::new(),
-            words: BTreeMap::new(),
-            only_whole: false,
+            history: BTreeMap::new(),
+            sends_snapshots_only: false,
         };
         for number in 0..nodes {
             discovery.hold(node(number, State::Ready, 0.0));
@@ -50,7 +50,7 @@
     }
 
     fn hold(&mut self, entry: Entry) {
-        self.words.entry(entry.name.clone()).or_default().push((self.version, said(&entry)));
+        self.history.entry(entry.name.clone()).or_default().push((self.version, listed_state(&entry)));
         match entry.state {
             State::Gone => _ = self.listed.remove(&entry.name),
             _ => _ = self.listed.insert(entry.name.clone(), entry),
@@ -84,7 +84,7 @@
         self.changed.clear();
     }
 
-    pub fn whole(&self) -> List {
+    pub fn snapshot(&self) -> List {
         let entries = self.listed.values().cloned().collect();
         List { rev: self.version, all: true, entries, unread: vec![] }
     }
@@ -107,15 +107,17 @@
     }
 
     /// The first version from another on at which this held of a node.
-    pub fn held_from(&self, name: &str, word: Said, from: u64) -> Option<u64> {
-        let Some(words) = self.words.get(name) else { return word.is_none().then_some(from) };
-        let mut periods = words.iter().enumerate().map(|(place, (since, said))| {
-            let end = words.get(place + 1).map_or(u64::MAX, |next| next.0);
-            (*since, end, *said)
+    pub fn first_version_with(&self, name: &str, state: ListedState, from: u64) -> Option<u64> {
+        let Some(history) = self.history.get(name) else { return state.is_none().then_some(from) };
+        let mut periods = history.iter().enumerate().map(|(place, (since, past_state))| {
+            let end = history.get(place + 1).map_or(u64::MAX, |next| next.0);
+            (*since, end, *past_state)
         });
-        if word.is_none() && words.first().is_some_and(|first| from < first.0) {
+        if state.is_none() && history.first().is_some_and(|first| from < first.0) {
             return Some(from);
         }
-        periods.find(|(_, end, said)| *said == word && *end > from).map(|(since, _, _)| since.max(from))
+        periods
+            .find(|(_, end, past_state)| *past_state == state && *end > from)
+            .map(|(since, _, _)| since.max(from))
     }
 }
--- a/crates/distribution/tests/world/head.rs
+++ b/crates/distribution/tests/simulation/head.rs
@@ -1,7 +1,7 @@
-//! A head: the real selection and intake, and membership where the list itself matters.
+//! A head: the real selection and filter, and membership where the list itself matters.
 
-use super::discovery::{Discovery, Said, said};
-use super::{Connection, Happening, Plan, START, Word, World};
+use super::discovery::{Discovery, ListedState, listed_state};
+use super::{Connection, START, SimulatedEvent, Simulation, SimulationPlan, WatchMessage};
 use bytes::Bytes;
 use flaxgap_distribution::selection::{Directive, Locality, LostReason, Selection, WatchId};
 use flaxgap_distribution::update_filter::{UpdateFilter, Verdict};
@@ -13,10 +13,10 @@
 struct Watch {
     connection: Connection,
     relay: usize,
-    intake: UpdateFilter,
-    last_word: f64,
-    /// It was asked for the whole list since its relay was found to count anew.
-    asked_whole: bool,
+    filter: UpdateFilter,
+    last_message_at: f64,
+    /// It was asked for the complete list since its relay was found to count anew.
+    has_relisted: bool,
 }
 
 pub struct Head {
@@ -25,24 +25,24 @@
     watches: BTreeMap<WatchId, Watch>,
     known: u64,
     membership: Option<Membership>,
-    listed: BTreeMap<String, Said>,
+    listed: BTreeMap<String, ListedState>,
     /// By node, the version at the latest from which what is listed held.
     held: BTreeMap<String, u64>,
     /// Words that were older than what was known, or never held.
-    pub wrong: Vec<String>,
-    pub wholes: usize,
+    pub violations: Vec<String>,
+    pub snapshots: usize,
     /// When it came to know which version.
     pub reached: Vec<(u64, f64)>,
     pub asked_again: usize,
-    /// It takes no heed of its intake.
-    pub heedless: bool,
+    /// It applies every update, whatever its filter decides.
+    pub bypasses_filter: bool,
     /// When its selection last had no relay.
     pub unreachable_since: Option<f64>,
-    wakes_at: f64,
+    next_poll_at: f64,
 }
 
 impl Head {
-    pub fn new(number: usize, locality: &Locality, plan: &Plan) -> Head {
+    pub fn new(number: usize, locality: &Locality, plan: &SimulationPlan) -> Head {
         let seed = plan.seed.wrapping_mul(1_000_003).wrapping_add(number as u64);
         let name = format!("head-{number}");
         let selection = Selection::new(&name, locality, plan.relays.clone(), seed, START).expect("relays");
@@ -54,13 +54,13 @@
             membership: plan.detailed.then(Membership::default),
             listed: BTreeMap::new(),
             held: BTreeMap::new(),
-            wrong: Vec::new(),
-            wholes: 0,
+            violations: Vec::new(),
+            snapshots: 0,
             reached: Vec::new(),
             asked_again: 0,
-            heedless: false,
+            bypasses_filter: false,
             unreachable_since: None,
-            wakes_at: START,
+            next_poll_at: START,
         }
     }
 
@@ -69,18 +69,18 @@
     }
 
     /// It begins with an earlier list.
-    pub fn remembers(&mut self, version: u64) {
+    pub fn set_known_version(&mut self, version: u64) {
         self.known = version;
     }
 
-    pub fn listed(&self, name: &str) -> Said {
+    pub fn listed(&self, name: &str) -> ListedState {
         self.listed.get(name).copied().flatten()
     }
 
     pub fn agrees(&self, discovery: &Discovery) -> bool {
-        let mine = self.listed.iter().filter(|(_, said)| said.is_some());
+        let mine = self.listed.iter().filter(|(_, state)| state.is_some());
         mine.clone().count() == discovery.listed().len()
-            && discovery.listed().values().all(|entry| self.listed(&entry.name) == said(entry))
+            && discovery.listed().values().all(|entry| self.listed(&entry.name) == listed_state(entry))
     }
 
     /// How long it took to learn of a version that was published at a time.
@@ -94,7 +94,7 @@
         watch_ids.into_iter().flatten().filter_map(|watch_id| self.selection.relay_of(watch_id)).collect()
     }
 
-    /// Takes in a line, and says whether it has to ask again.
+    /// Applies a line; returns whether the relay has to be watched again.
     fn take(&mut self, watch_id: WatchId, text: &Bytes, now: f64, discovery: &Discovery) -> bool {
         let known = self.known();
         let Some(watch) = self.watches.get_mut(&watch_id) else { return false };
@@ -102,9 +102,9 @@
             Some(_) => List::parse(text).expect("a list that can be read"),
             None => heading(text),
         };
-        self.wholes += usize::from(list.all);
-        let verdict = watch.intake.evaluate(list.rev, list.all, known);
-        if !self.heedless {
+        self.snapshots += usize::from(list.all);
+        let verdict = watch.filter.evaluate(list.rev, list.all, known);
+        if !self.bypasses_filter {
             match verdict {
                 Verdict::Apply => {}
                 Verdict::Duplicate => return false,
@@ -115,26 +115,26 @@
             self.known = self.known.max(list.rev);
             return false;
         };
-        let changes = membership.take(list, watch.intake.source(), now);
-        watch.asked_whole &= watch.intake.needs_relist(now);
+        let changes = membership.take(list, watch.filter.source(), now);
+        watch.has_relisted &= watch.filter.needs_relist(now);
         for change in changes {
-            let (name, word) = match change {
-                Change::Holds(entry) => (entry.name.clone(), said(&entry)),
+            let (name, state) = match change {
+                Change::Holds(entry) => (entry.name.clone(), listed_state(&entry)),
                 Change::Gone(name) => (name, None),
             };
-            self.note(name, word, discovery);
+            self.record(name, state, discovery);
         }
         false
     }
 
-    /// Notes a word, and checks that it held at no earlier version than the word before it.
-    fn note(&mut self, name: String, word: Said, discovery: &Discovery) {
+    /// Records the state of a node, and checks that it held at no earlier version than the state recorded before.
+    fn record(&mut self, name: String, state: ListedState, discovery: &Discovery) {
         let before = self.held.get(&name).copied().unwrap_or_default();
-        match discovery.held_from(&name, word, before) {
+        match discovery.first_version_with(&name, state, before) {
             Some(version) => _ = self.held.insert(name.clone(), version),
-            None => self.wrong.push(format!("{name}: {word:?} after version {before}")),
+            None => self.violations.push(format!("{name}: {state:?} after version {before}")),
         }
-        self.listed.insert(name, word);
+        self.listed.insert(name, state);
     }
 }
 
@@ -147,29 +147,29 @@
     List { rev: rev.parse().expect("a version"), all, entries: vec![], unread: vec![] }
 }
 
-impl World {
-    pub(super) fn head_wakes(&mut self, head: usize) {
-        let now = self.agenda.now;
+impl Simulation {
+    pub(super) fn head_polls(&mut self, head: usize) {
+        let now = self.event_queue.now;
         let silence = self.heads[head].selection.timing().idle_timeout_s;
         let silent: Vec<WatchId> = self.heads[head]
             .watches
             .iter()
             .filter(|(watch_id, watch)| {
-                self.heads[head].speaks(**watch_id) && now - watch.last_word >= silence
+                self.heads[head].is_open(**watch_id) && now - watch.last_message_at >= silence
             })
             .map(|(watch_id, _)| *watch_id)
             .collect();
         for watch_id in silent {
-            self.head_loses(head, watch_id, LostReason::IdleTimeout);
+            self.head_loses_watch(head, watch_id, LostReason::IdleTimeout);
         }
-        self.head_asks_whole(head);
+        self.head_relists(head);
         for directive in self.heads[head].selection.poll(now) {
             match directive {
                 Directive::Open { watch_id, relay, at } => {
                     assert!(at <= now);
-                    self.head_opens(head, watch_id, relay);
+                    self.head_opens_watch(head, watch_id, relay);
                 }
-                Directive::Close { watch_id } => self.head_closes(head, watch_id),
+                Directive::Close { watch_id } => self.head_closes_watch(head, watch_id),
             }
         }
         let head_state = &mut self.heads[head];
@@ -179,95 +179,102 @@
         };
         // A late watch is seen within half a second.
         let next = head_state.selection.next_poll(now).min(now + 0.5).max(now + 1e-3);
-        if head_state.wakes_at <= now || next < head_state.wakes_at {
-            head_state.wakes_at = next;
-            self.agenda.at(next, Happening::HeadWakes { head });
+        if head_state.next_poll_at <= now || next < head_state.next_poll_at {
+            head_state.next_poll_at = next;
+            self.event_queue.at(next, SimulatedEvent::HeadPolls { head });
         }
     }
 
-    fn head_opens(&mut self, head: usize, watch_id: WatchId, relay: usize) {
+    fn head_opens_watch(&mut self, head: usize, watch_id: WatchId, relay: usize) {
         let known = self.heads[head].known();
         let watch = Watch {
             connection: Connection(0),
             relay,
-            intake: UpdateFilter::new(known),
-            last_word: self.agenda.now,
-            asked_whole: false,
+            filter: UpdateFilter::new(known),
+            last_message_at: self.event_queue.now,
+            has_relisted: false,
         };
         self.heads[head].watches.insert(watch_id, watch);
-        self.head_asks(head, watch_id, known);
+        self.head_requests_watch(head, watch_id, known);
     }
 
     /// Asks the watch's relay on a new connection.
-    fn head_asks(&mut self, head: usize, watch_id: WatchId, since: u64) {
-        let (connection, latency) = (self.agenda.connection(), self.agenda.latency());
+    fn head_requests_watch(&mut self, head: usize, watch_id: WatchId, since: u64) {
+        let (connection, latency) = (self.event_queue.connection(), self.event_queue.latency());
         let Some(watch) = self.heads[head].watches.get_mut(&watch_id) else { return };
-        watch.intake.restart(since);
-        watch.last_word = self.agenda.now;
+        watch.filter.restart(since);
+        watch.last_message_at = self.event_queue.now;
         let old = std::mem::replace(&mut watch.connection, connection);
         let relay = watch.relay;
-        let at = self.agenda.now + latency;
-        self.agenda.at(at, Happening::RelayLeft { relay, connection: old });
-        self.agenda.at(at, Happening::RelayAsked { relay, head, watch_id, connection, since });
+        let at = self.event_queue.now + latency;
+        self.event_queue.at(at, SimulatedEvent::WatchClosed { relay, connection: old });
+        self.event_queue.at(at, SimulatedEvent::WatchRequested { relay, head, watch_id, connection, since });
     }
 
-    /// Where a relay has been behind for too long it is asked for the whole list.
-    fn head_asks_whole(&mut self, head: usize) {
-        let now = self.agenda.now;
+    /// Where a relay has been behind for too long it is asked for the complete list.
+    fn head_relists(&mut self, head: usize) {
+        let now = self.event_queue.now;
         let watches = self.heads[head].watches.iter_mut();
-        let due = watches.filter(|(_, watch)| !watch.asked_whole && watch.intake.needs_relist(now));
+        let due = watches.filter(|(_, watch)| !watch.has_relisted && watch.filter.needs_relist(now));
         let due: Vec<WatchId> = due
             .map(|(watch_id, watch)| {
-                watch.asked_whole = true;
+                watch.has_relisted = true;
                 *watch_id
             })
             .collect();
         for watch_id in due {
-            self.head_asks(head, watch_id, 0);
+            self.head_requests_watch(head, watch_id, 0);
         }
     }
 
-    fn head_closes(&mut self, head: usize, watch_id: WatchId) {
-        let latency = self.agenda.latency();
+    fn head_closes_watch(&mut self, head: usize, watch_id: WatchId) {
+        let latency = self.event_queue.latency();
         if let Some(watch) = self.heads[head].watches.remove(&watch_id) {
             let (relay, connection) = (watch.relay, watch.connection);
-            self.agenda.at(self.agenda.now + latency, Happening::RelayLeft { relay, connection });
+            self.event_queue
+                .at(self.event_queue.now + latency, SimulatedEvent::WatchClosed { relay, connection });
         }
     }
 
-    fn head_loses(&mut self, head: usize, watch_id: WatchId, reason: LostReason) {
-        self.head_closes(head, watch_id);
-        self.heads[head].selection.watch_lost(watch_id, reason, self.agenda.now);
+    fn head_loses_watch(&mut self, head: usize, watch_id: WatchId, reason: LostReason) {
+        self.head_closes_watch(head, watch_id);
+        self.heads[head].selection.watch_lost(watch_id, reason, self.event_queue.now);
     }
 
-    pub(super) fn head_hears(&mut self, head: usize, watch_id: WatchId, connection: Connection, word: Word) {
-        let now = self.agenda.now;
+    pub(super) fn head_receives(
+        &mut self,
+        head: usize,
+        watch_id: WatchId,
+        connection: Connection,
+        message: WatchMessage,
+    ) {
+        let now = self.event_queue.now;
         let Some(watch) = self.heads[head].watches.get_mut(&watch_id) else { return };
         if watch.connection != connection {
             return;
         }
-        watch.last_word = now;
-        match word {
-            Word::Lost(reason) => self.head_loses(head, watch_id, reason),
-            Word::Heartbeat if self.heads[head].selection.is_open(watch_id) => return,
-            Word::Heartbeat => self.heads[head].selection.watch_opened(watch_id, now),
-            Word::Text(text) => {
+        watch.last_message_at = now;
+        match message {
+            WatchMessage::Lost(reason) => self.head_loses_watch(head, watch_id, reason),
+            WatchMessage::Heartbeat if self.heads[head].selection.is_open(watch_id) => return,
+            WatchMessage::Heartbeat => self.heads[head].selection.watch_opened(watch_id, now),
+            WatchMessage::List(text) => {
                 self.heads[head].selection.watch_opened(watch_id, now);
-                let asks_again = self.heads[head].take(watch_id, &text, now, &self.discovery);
+                let needs_rewatch = self.heads[head].take(watch_id, &text, now, &self.discovery);
                 let known = self.heads[head].known();
                 self.heads[head].reached.push((known, now));
-                if asks_again {
+                if needs_rewatch {
                     self.heads[head].asked_again += 1;
-                    self.head_asks(head, watch_id, known);
+                    self.head_requests_watch(head, watch_id, known);
                 }
             }
         }
-        self.head_wakes(head);
+        self.head_polls(head);
     }
 }
 
 impl Head {
-    fn speaks(&self, watch_id: WatchId) -> bool {
+    fn is_open(&self, watch_id: WatchId) -> bool {
         self.selection.is_open(watch_id)
     }
 }
--- a/crates/distribution/tests/world/mod.rs
+++ b/crates/distribution/tests/simulation/mod.rs
@@ -9,7 +9,7 @@
 
 pub use discovery::{Discovery, node};
 pub use head::Head;
-pub use relay::{Death, Relay};
+pub use relay::{Relay, RelayFailure};
 
 use bytes::Bytes;
 use flaxgap_distribution::replica::ReplicaLimits;
@@ -23,7 +23,7 @@
 pub const START: f64 = 1000.0;
 /// A message between two machines takes from this to the next, in seconds.
 const LATENCY_S: (f64, f64) = (0.0005, 0.02);
-/// Discovery says something this often, in seconds.
+/// Heartbeat interval of discovery, in seconds.
 pub const UPSTREAM_HEARTBEAT_S: f64 = 2.0;
 
 /// One connection between a head and a relay.
@@ -32,28 +32,61 @@
 
 /// What a head hears on a watch.
 #[derive(Clone, Debug)]
-pub enum Word {
+pub enum WatchMessage {
     Heartbeat,
-    Text(Bytes),
+    List(Bytes),
     Lost(LostReason),
 }
 
 /// What happens at a time.
 #[derive(Debug)]
-pub enum Happening {
-    HeadWakes { head: usize },
-    HeadHears { head: usize, watch_id: WatchId, connection: Connection, word: Word },
-    RelayAsked { relay: usize, head: usize, watch_id: WatchId, connection: Connection, since: u64 },
-    RelayLeft { relay: usize, connection: Connection },
-    WatcherWakes { relay: usize, life: u64, connection: Connection },
-    WholeSent { relay: usize, life: u64, ticket: flaxgap_distribution::snapshot_admission::SnapshotRequestId },
-    AdmissionWakes { relay: usize, life: u64 },
-    UpstreamSpeaks { relay: usize, life: u64 },
-    UpstreamBeats { relay: usize, life: u64 },
+pub enum SimulatedEvent {
+    HeadPolls {
+        head: usize,
+    },
+    HeadReceives {
+        head: usize,
+        watch_id: WatchId,
+        connection: Connection,
+        message: WatchMessage,
+    },
+    WatchRequested {
+        relay: usize,
+        head: usize,
+        watch_id: WatchId,
+        connection: Connection,
+        since: u64,
+    },
+    WatchClosed {
+        relay: usize,
+        connection: Connection,
+    },
+    WatcherPolls {
+        relay: usize,
+        incarnation: u64,
+        connection: Connection,
+    },
+    SnapshotSent {
+        relay: usize,
+        incarnation: u64,
+        request_id: flaxgap_distribution::snapshot_admission::SnapshotRequestId,
+    },
+    AdmissionPolls {
+        relay: usize,
+        incarnation: u64,
+    },
+    UpstreamSends {
+        relay: usize,
+        incarnation: u64,
+    },
+    UpstreamHeartbeat {
+        relay: usize,
+        incarnation: u64,
+    },
 }
 
 /// What a fleet is made of.
-pub struct Plan {
+pub struct SimulationPlan {
     pub seed: u64,
     pub relays: Vec<RelayInfo>,
     pub heads: Vec<Locality>,
@@ -61,30 +94,30 @@
     /// Heads keep the list itself, not only its version.
     pub detailed: bool,
     pub limits: ReplicaLimits,
-    /// How long discovery's word takes to a relay at most, in seconds.
+    /// How long discovery's message takes to a relay at most, in seconds.
     pub upstream_lag_s: f64,
 }
 
 /// The events that are to come, and what is drawn.
-pub struct Agenda {
+pub struct EventQueue {
     pub now: f64,
-    pub chance: ChaCha8Rng,
+    pub rng: ChaCha8Rng,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: std::collections::HashMap<u64, Happening>,
+    payloads: std::collections::HashMap<u64, SimulatedEvent>,
     issued: u64,
     connections: u64,
 }
 
-impl Agenda {
-    pub fn at(&mut self, time: f64, happening: Happening) {
+impl EventQueue {
+    pub fn at(&mut self, time: f64, event: SimulatedEvent) {
         self.issued += 1;
         let micros = (time.max(self.now) * 1e6).ceil() as u64;
         self.events.push(Reverse((micros, self.issued)));
-        self.happenings.insert(self.issued, happening);
+        self.payloads.insert(self.issued, event);
     }
 
     pub fn latency(&mut self) -> f64 {
-        self.chance.random_range(LATENCY_S.0..LATENCY_S.1)
+        self.rng.random_range(LATENCY_S.0..LATENCY_S.1)
     }
 
     pub fn connection(&mut self) -> Connection {
@@ -92,7 +125,7 @@
         Connection(self.connections)
     }
 
-    fn next(&mut self, until: f64) -> Option<Happening> {
+    fn next(&mut self, until: f64) -> Option<SimulatedEvent> {
         let Reverse((micros, _)) = *self.events.peek()?;
         let time = micros as f64 / 1e6;
         if time > until {
@@ -100,13 +133,13 @@
         }
         let Reverse((_, number)) = self.events.pop()?;
         self.now = self.now.max(time);
-        self.happenings.remove(&number)
+        self.payloads.remove(&number)
     }
 }
 
 /// The fleet.
-pub struct World {
-    pub agenda: Agenda,
+pub struct Simulation {
+    pub event_queue: EventQueue,
     pub discovery: Discovery,
     pub relays: Vec<Relay>,
     pub heads: Vec<Head>,
@@ -116,43 +149,43 @@
     pub discovery_region: String,
 }
 
-impl World {
-    pub fn new(plan: Plan) -> World {
-        let mut agenda = Agenda {
+impl Simulation {
+    pub fn new(plan: SimulationPlan) -> Simulation {
+        let mut event_queue = EventQueue {
             now: START,
-            chance: ChaCha8Rng::seed_from_u64(plan.seed),
+            rng: ChaCha8Rng::seed_from_u64(plan.seed),
             events: BinaryHeap::new(),
-            happenings: Default::default(),
+            payloads: Default::default(),
             issued: 0,
             connections: 0,
         };
         let relays: Vec<Relay> =
-            plan.relays.iter().map(|info| Relay::new(info.clone(), &plan, &mut agenda)).collect();
+            plan.relays.iter().map(|info| Relay::new(info.clone(), &plan, &mut event_queue)).collect();
         let heads = plan.heads.iter().enumerate().map(|(number, locality)| {
-            agenda.at(START, Happening::HeadWakes { head: number });
+            event_queue.at(START, SimulatedEvent::HeadPolls { head: number });
             Head::new(number, locality, &plan)
         });
         let heads = heads.collect();
         let discovery_region = plan.relays.first().map(|relay| relay.region.clone()).unwrap_or_default();
         let discovery = Discovery::new(plan.nodes);
-        World { agenda, discovery, relays, heads, cut_off: None, discovery_region }
+        Simulation { event_queue, discovery, relays, heads, cut_off: None, discovery_region }
     }
 
     pub fn now(&self) -> f64 {
-        self.agenda.now
+        self.event_queue.now
     }
 
     /// Whether messages pass between two regions.
-    pub fn joined(&self, one: &str, other: &str) -> bool {
+    pub fn is_connected(&self, one: &str, other: &str) -> bool {
         self.cut_off.as_deref().is_none_or(|cut| (one == cut) == (other == cut))
     }
 
     /// Lets time pass until a moment.
     pub fn run_until(&mut self, until: f64) {
-        while let Some(happening) = self.agenda.next(until) {
-            self.happen(happening);
+        while let Some(event) = self.event_queue.next(until) {
+            self.handle(event);
         }
-        self.agenda.now = until;
+        self.event_queue.now = until;
     }
 
     pub fn run_for(&mut self, seconds: f64) {
@@ -160,7 +193,7 @@
     }
 
     /// Lets time pass until something holds, asked at every tenth of a second; gives how long that took.
-    pub fn run_until_holds(&mut self, most: f64, holds: impl Fn(&World) -> bool) -> f64 {
+    pub fn run_until_holds(&mut self, most: f64, holds: impl Fn(&Simulation) -> bool) -> f64 {
         let began = self.now();
         while !holds(self) && self.now() - began < most {
             self.run_for(0.1);
@@ -169,23 +202,27 @@
         self.now() - began
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::HeadWakes { head } => self.head_wakes(head),
-            Happening::HeadHears { head, watch_id, connection, word } => {
-                self.head_hears(head, watch_id, connection, word);
+    fn handle(&mut self, event: SimulatedEvent) {
+        match event {
+            SimulatedEvent::HeadPolls { head } => self.head_polls(head),
+            SimulatedEvent::HeadReceives { head, watch_id, connection, message } => {
+                self.head_receives(head, watch_id, connection, message);
             }
-            Happening::RelayAsked { relay, head, watch_id, connection, since } => {
-                self.relay_asked(relay, head, watch_id, connection, since);
+            SimulatedEvent::WatchRequested { relay, head, watch_id, connection, since } => {
+                self.watch_requested(relay, head, watch_id, connection, since);
             }
-            Happening::RelayLeft { relay, connection } => self.relay_left(relay, connection),
-            Happening::WatcherWakes { relay, life, connection } => {
-                self.watcher_wakes(relay, life, connection);
+            SimulatedEvent::WatchClosed { relay, connection } => self.watch_closed(relay, connection),
+            SimulatedEvent::WatcherPolls { relay, incarnation, connection } => {
+                self.watcher_polls(relay, incarnation, connection);
+            }
+            SimulatedEvent::SnapshotSent { relay, incarnation, request_id } => {
+                self.snapshot_sent(relay, incarnation, request_id)
+            }
+            SimulatedEvent::AdmissionPolls { relay, incarnation } => self.admission_polls(relay, incarnation),
+            SimulatedEvent::UpstreamSends { relay, incarnation } => self.upstream_sends(relay, incarnation),
+            SimulatedEvent::UpstreamHeartbeat { relay, incarnation } => {
+                self.upstream_heartbeat(relay, incarnation)
             }
-            Happening::WholeSent { relay, life, ticket } => self.whole_sent(relay, life, ticket),
-            Happening::AdmissionWakes { relay, life } => self.admission_wakes(relay, life),
-            Happening::UpstreamSpeaks { relay, life } => self.upstream_speaks(relay, life),
-            Happening::UpstreamBeats { relay, life } => self.upstream_beats(relay, life),
         }
     }
 
@@ -202,7 +239,7 @@
 }
 
 /// The coming size: 2 regions with 4 zones each, 20 relays spread over the zones in turn.
-pub fn coming_relays() -> Vec<RelayInfo> {
+pub fn planned_relays() -> Vec<RelayInfo> {
     relays(2, 4, 20)
 }
 
--- a/crates/distribution/tests/update_filter.rs
+++ b/crates/distribution/tests/update_filter.rs
@@ -15,40 +15,40 @@
 
 /// Given lists in their order, when the other watch has told some of them, then these are known and the rest is taken.
 #[test]
-fn what_the_other_watch_told_is_known() {
-    let mut intake = UpdateFilter::new(41);
-    assert_eq!(intake.evaluate(42, false, 41), Verdict::Apply);
-    assert_eq!(intake.evaluate(43, false, 45), Verdict::Duplicate);
-    assert_eq!(intake.evaluate(44, false, 45), Verdict::Duplicate);
+fn updates_received_from_the_other_watch_are_duplicates() {
+    let mut filter = UpdateFilter::new(41);
+    assert_eq!(filter.evaluate(42, false, 41), Verdict::Apply);
+    assert_eq!(filter.evaluate(43, false, 45), Verdict::Duplicate);
+    assert_eq!(filter.evaluate(44, false, 45), Verdict::Duplicate);
     // The last version may be told once more, with a drain that came late.
-    assert_eq!(intake.evaluate(45, false, 45), Verdict::Apply);
-    assert_eq!(intake.evaluate(46, false, 45), Verdict::Apply);
+    assert_eq!(filter.evaluate(45, false, 45), Verdict::Apply);
+    assert_eq!(filter.evaluate(46, false, 45), Verdict::Apply);
 }
 
 /// Given a list that jumps over a version known from the other watch, when it comes, then the relay is asked again, with
 /// that version; one that jumps over versions that nobody told is taken.
 #[test]
-fn a_list_that_jumps_over_the_known_version_is_not_taken() {
-    let mut intake = UpdateFilter::new(41);
-    assert_eq!(intake.evaluate(44, false, 42), Verdict::Rewatch);
-    intake.restart(42);
-    assert_eq!(intake.evaluate(44, false, 42), Verdict::Apply);
-    assert_eq!(intake.evaluate(50, false, 44), Verdict::Apply);
-    assert_eq!(intake.evaluate(60, true, 55), Verdict::Apply);
+fn a_list_that_jumps_over_the_known_version_is_not_applied() {
+    let mut filter = UpdateFilter::new(41);
+    assert_eq!(filter.evaluate(44, false, 42), Verdict::Rewatch);
+    filter.restart(42);
+    assert_eq!(filter.evaluate(44, false, 42), Verdict::Apply);
+    assert_eq!(filter.evaluate(50, false, 44), Verdict::Apply);
+    assert_eq!(filter.evaluate(60, true, 55), Verdict::Apply);
 }
 
-/// Given a relay whose source counts anew, when its whole list comes, then its changes are taken too, and after the time
-/// that membership states it is to be asked for the whole list, also on another connection.
+/// Given a relay whose source restarts its numbering, when its complete list comes, then its changes are taken too, and after the time
+/// that membership states it is to be asked for the complete list, also on another connection.
 #[test]
-fn a_relay_that_counts_anew_is_asked_for_the_whole_list() {
-    let (mut membership, mut intake) = (Membership::default(), UpdateFilter::new(0));
-    membership.take(list(900, true), intake.source(), NOW);
-    assert_eq!(intake.evaluate(1, true, 900), Verdict::Apply);
-    membership.take(list(1, true), intake.source(), NOW);
-    assert_eq!(intake.evaluate(2, false, 900), Verdict::Apply);
-    assert!(!intake.needs_relist(NOW + BEHIND - 0.1));
-    intake.restart(0);
-    assert!(intake.needs_relist(NOW + BEHIND));
-    membership.take(list(2, true), intake.source(), NOW + BEHIND);
-    assert_eq!((membership.version(), intake.needs_relist(NOW + BEHIND)), (2, false));
+fn a_renumbered_relay_is_relisted() {
+    let (mut membership, mut filter) = (Membership::default(), UpdateFilter::new(0));
+    membership.take(list(900, true), filter.source(), NOW);
+    assert_eq!(filter.evaluate(1, true, 900), Verdict::Apply);
+    membership.take(list(1, true), filter.source(), NOW);
+    assert_eq!(filter.evaluate(2, false, 900), Verdict::Apply);
+    assert!(!filter.needs_relist(NOW + BEHIND - 0.1));
+    filter.restart(0);
+    assert!(filter.needs_relist(NOW + BEHIND));
+    membership.take(list(2, true), filter.source(), NOW + BEHIND);
+    assert_eq!((membership.version(), filter.needs_relist(NOW + BEHIND)), (2, false));
 }
--- a/crates/distribution/tests/watcher.rs
+++ b/crates/distribution/tests/watcher.rs
@@ -36,7 +36,7 @@
 
 /// Given nothing new, when time passes, then there is a list without entries at once, and an empty line each 2 s.
 #[test]
-fn a_watch_with_nothing_new_hears_an_empty_line_each_2_s() {
+fn an_idle_watch_gets_a_heartbeat_every_2_s() {
     let mut replica = replica();
     let mut watcher = Watcher::new(41, replica.generation(), NOW);
     assert_no_changes(watcher.poll(&replica, NOW), 41);
@@ -66,27 +66,27 @@
     assert_eq!(rev(watcher.poll(&replica, NOW + 1.5)), 45);
 }
 
-/// Given a watch that knows too little, when it asks, then it says once that it needs the whole list, hears heartbeats
+/// Given a watch that knows too little, when it asks, then it says once that it needs the complete list, hears heartbeats
 /// until that is admitted, and goes on after the version that it was sent.
 #[test]
-fn a_watch_waits_for_the_whole_list_and_goes_on_after_it() {
+fn a_watch_waits_for_the_snapshot_and_follows_the_log_after_it() {
     let mut replica = replica();
     let mut watcher = Watcher::new(7, replica.generation(), NOW);
     assert_eq!(watcher.poll(&replica, NOW), WatchAction::RequestSnapshot);
     assert_eq!(watcher.poll(&replica, NOW), WatchAction::Heartbeat);
     replica.apply(list(42, false), NOW + 1.0).expect("applied");
     assert_eq!(watcher.poll(&replica, NOW + 1.0), WatchAction::Wait { until: NOW + 2.0 });
-    let whole = watcher.take_snapshot(&mut replica, NOW + 1.0).expect("written").expect("current");
-    assert_eq!(List::parse(&whole).expect("a list").rev, 42);
+    let snapshot = watcher.take_snapshot(&mut replica, NOW + 1.0).expect("written").expect("current");
+    assert_eq!(List::parse(&snapshot).expect("a list").rev, 42);
     assert_eq!(watcher.poll(&replica, NOW + 1.0), WatchAction::Wait { until: NOW + 3.0 });
     replica.apply(list(43, false), NOW + 1.0).expect("applied");
     assert_eq!(rev(watcher.poll(&replica, NOW + 1.0)), 43);
 }
 
-/// Given a whole list that is admitted after the lease's end, when it is taken, then nothing is sent, and it is asked for
+/// Given a complete list that is admitted after the lease's end, when it is taken, then nothing is sent, and it is asked for
 /// again once the copy is current.
 #[test]
-fn no_whole_list_is_sent_after_the_lease() {
+fn no_snapshot_is_sent_after_the_lease_expired() {
     let mut replica = replica();
     let mut watcher = Watcher::new(7, replica.generation(), NOW);
     assert_eq!(watcher.poll(&replica, NOW), WatchAction::RequestSnapshot);
@@ -99,7 +99,7 @@
 
 /// Given the lease's end, when a watch asks at any later time, then it is sent nothing, neither a change nor an empty line.
 #[test]
-fn after_the_lease_there_is_silence() {
+fn nothing_is_sent_after_the_lease_expired() {
     let mut replica = replica();
     let mut following = Watcher::new(41, replica.generation(), NOW);
     assert_no_changes(following.poll(&replica, NOW), 41);
@@ -118,7 +118,7 @@
 }
 
 /// Given a watch that knows a newer version, when the relay reaches it in time, then it goes on from there and costs no
-/// whole list; until then it hears heartbeats only, then that nothing came after its version.
+/// complete list; until then it hears heartbeats only, then that nothing came after its version.
 #[test]
 fn a_watch_that_is_ahead_is_waited_for() {
     let mut replica = replica();
@@ -132,15 +132,15 @@
     assert_eq!(rev(watcher.poll(&replica, NOW + 3.0)), 44);
 }
 
-/// Given a watch that stays ahead, when 5 s have passed, then it gets the whole list, and not before.
+/// Given a watch that stays ahead, when 5 s have passed, then it gets the complete list, and not before.
 #[test]
-fn a_watch_that_stays_ahead_gets_the_whole_list_in_time() {
+fn a_watch_that_stays_ahead_gets_the_snapshot_in_time() {
     let mut replica = replica();
     let mut watcher = Watcher::new(43, replica.generation(), NOW);
     let (mut now, mut asked) = (NOW, 0);
     let asked_at = loop {
         asked += 1;
-        assert!(asked <= 20, "no whole list at {now}");
+        assert!(asked <= 20, "no complete list at {now}");
         replica.renew_lease(now);
         match watcher.poll(&replica, now) {
             WatchAction::Heartbeat => {}
@@ -154,7 +154,7 @@
 
 /// Given a reader that takes nothing, when its time is over, then it ends; one that takes a part of it goes on.
 #[test]
-fn a_slow_reader_is_cut_off() {
+fn a_slow_reader_is_disconnected() {
     let mut replica = replica();
     let mut watcher = Watcher::new(41, replica.generation(), NOW);
     replica.apply(list(42, false), NOW).expect("applied");
@@ -169,7 +169,7 @@
 
 /// Given a reader that is slower than the log is long, when its place was dropped, then it ends and may come again.
 #[test]
-fn a_watch_whose_place_was_dropped_ends() {
+fn a_watch_whose_position_was_compacted_ends() {
     let mut replica = Replica::new(ReplicaLimits { log_records: 3, ..ReplicaLimits::default() });
     replica.apply(list(41, true), NOW).expect("applied");
     let mut watcher = Watcher::new(41, replica.generation(), NOW);
@@ -187,7 +187,7 @@
     assert_eq!(again.poll(&replica, NOW), WatchAction::RequestSnapshot);
 }
 
-/// Given a source that counts anew, when watches of the old count ask, then they end, whatever they wait for.
+/// Given a source that restarts its numbering, when watches of the old count ask, then they end, whatever they wait for.
 #[test]
 fn watches_of_an_earlier_generation_end() {
     let mut replica = Replica::new(ReplicaLimits::default());
