--- a/tests/relays.rs
+++ b/tests/relays.rs
@@ -1,5 +1,5 @@
-//! Relays of the node list between discovery and heads, with the real programs: each fault is brought about, and each
-//! verdict is of one fact. Waits are upper bounds.
+//! Relays of the endpoint list between discovery and heads, with the real programs and real faults. Waits are upper
+//! bounds.
 
 mod peers;
 use peers::*;
@@ -12,24 +12,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Within this time a change at discovery is in force at a head that has a relay; the machine may be busy.
-const IN_FORCE: Duration = Duration::from_secs(2);
-/// Within this time a head has left a relay that fell silent: 3 s of silence after the last heartbeat, and a move.
-const MOVED: Duration = Duration::from_secs(8);
-/// Within this time a relay that starts empty is current, with discovery at hand.
-const REBUILT: Duration = Duration::from_secs(2);
+/// Longest time from a change at discovery until a head that has a relay applies it; the machine may be busy.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
+/// Longest time until a head has left an unresponsive relay: 3 s idle timeout after the last heartbeat, and the failover.
+const FAILOVER_LIMIT: Duration = Duration::from_secs(8);
+/// Longest time until a relay that starts empty is current, with a reachable discovery.
+const REBUILD_LIMIT: Duration = Duration::from_secs(2);
 
-static FILES: AtomicU32 = AtomicU32::new(0);
+static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// A file of this test's own, removed with it.
-struct File(PathBuf);
+/// A temporary file, removed when it is dropped.
+struct TempFile(PathBuf);
 
-impl File {
-    fn new(text: &str) -> File {
-        let number = FILES.fetch_add(1, Ordering::SeqCst);
+impl TempFile {
+    fn new(text: &str) -> TempFile {
+        let number = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("flaxgap-relays-{}-{number}.toml", std::process::id()));
         std::fs::write(&path, text).expect("written");
-        File(path)
+        TempFile(path)
     }
 
     fn path(&self) -> &str {
@@ -37,7 +37,7 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -59,7 +59,7 @@
     /// The same at an address, with more lines of configuration.
     fn start_at(name: &'static str, listen: SocketAddr, upstream: SocketAddr, more: &str) -> Relay {
         let text = format!("name = \"{name}\"\nlisten = \"{listen}\"\nupstream = \"{upstream}\"\n{more}");
-        let file = File::new(&text);
+        let file = TempFile::new(&text);
         let mut command = Command::new(env!("CARGO_BIN_EXE_flaxgap-relay"));
         command.arg(file.path()).env("RUST_LOG", "info").stderr(Stdio::piped());
         let mut child = command.spawn().expect("the relay starts");
@@ -76,8 +76,8 @@
         relay
     }
 
-    /// Waits until it is current.
-    fn current(self) -> Relay {
+    /// Waits until its replica is current.
+    fn wait_until_current(self) -> Relay {
         wait(|| (get(self.address, "/-/ready").status() == 200).then_some(()));
         self
     }
@@ -114,7 +114,7 @@
 }
 
 /// The operators' file of a head in zone `r1-a` with these relays, all in its zone.
-fn distribution(relays: &[(&str, SocketAddr)]) -> File {
+fn distribution(relays: &[(&str, SocketAddr)]) -> TempFile {
     let relays: Vec<String> = relays
         .iter()
         .map(|(name, address)| {
@@ -122,15 +122,15 @@
         })
         .collect();
     let relays = relays.join(",\n  ");
-    File::new(&format!("[distribution]\nregion = \"r1\"\nzone = \"r1-a\"\nrelays = [\n  {relays}\n]\n"))
+    TempFile::new(&format!("[distribution]\nregion = \"r1\"\nzone = \"r1-a\"\nrelays = [\n  {relays}\n]\n"))
 }
 
-/// An address at which nothing listens.
-fn nowhere() -> SocketAddr {
+/// An address without a listener.
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address")
 }
 
-/// A head that follows relays; its configured discovery is not there.
+/// A head that follows relays; its configured discovery does not exist.
 fn head(relays: &[&Relay], known: &str) -> Head {
     let relays: Vec<(&str, SocketAddr)> = relays.iter().map(|relay| (relay.name, relay.address)).collect();
     head_at(&relays, known)
@@ -138,7 +138,7 @@
 
 fn head_at(relays: &[(&str, SocketAddr)], known: &str) -> Head {
     let file = distribution(relays);
-    Head::start_text(&config_at(nowhere(), 1024, known), None, &[("FLAXGAP_OPS", file.path())])
+    Head::start_text(&config_at(unused_address(), 1024, known), None, &[("FLAXGAP_OPS", file.path())])
 }
 
 fn gauge(head: &Head, name: &str) -> u64 {
@@ -147,13 +147,13 @@
     line.unwrap_or_else(|| panic!("{name} in {text}")).parse().expect("a number")
 }
 
-/// Asks the head for something that any node of shard 0 has.
-fn ask(head: &Head) -> u16 {
+/// Sends the head a request that any node of shard 0 can serve; returns the status.
+fn send_request(head: &Head) -> u16 {
     Client::new(head.http).ask(&Client::request("play-fetch", "network", 1, 2.0, 0), b"").status()
 }
 
-/// Waits until so many nodes get no work at the head; how long that took.
-fn excluded(head: &Head, count: u64, within: Duration) -> Duration {
+/// Waits until this number of nodes is excluded at the head; returns how long that took.
+fn wait_for_excluded_nodes(head: &Head, count: u64, within: Duration) -> Duration {
     let since = Instant::now();
     wait(|| (gauge(head, "bricks_excluded") == count).then_some(()));
     let took = since.elapsed();
@@ -161,16 +161,16 @@
     took
 }
 
-/// Whether none of some requests comes to a node.
-fn is_left_alone(head: &Head, brick: &Brick) {
+/// Asserts that none of some requests reaches a node.
+fn assert_gets_no_requests(head: &Head, brick: &Brick) {
     let before = brick.seen().len();
     for _ in 0..12 {
-        assert_eq!(ask(head), 200);
+        assert_eq!(send_request(head), 200);
     }
-    assert_eq!(brick.seen().len(), before, "nothing new goes to a node that leaves");
+    assert_eq!(brick.seen().len(), before, "a draining node gets no new requests");
 }
 
-/// The relay that the head follows first, by its log.
+/// The head's primary relay, by its log.
 fn primary(head: &Head) -> String {
     let text = "relays: primary is ";
     wait(|| {
@@ -180,7 +180,7 @@
     })
 }
 
-fn two_bricks() -> (Brick, Brick) {
+fn two_nodes() -> (Brick, Brick) {
     (Brick::start(|_, _| Step::Serve(vec![])), Brick::start(|_, _| Step::Serve(vec![])))
 }
 
@@ -188,7 +188,7 @@
     vec![entry("s-1", first.0.address, 0, first.1), entry("s-2", second.address, 0, "ready")]
 }
 
-/// Says each change of a watch as it comes.
+/// A client that watches a relay.
 struct Watch(BufReader<TcpStream>);
 
 impl Watch {
@@ -224,26 +224,27 @@
 
 #[test]
 fn a_drain_at_discovery_is_in_force_at_a_head_that_follows_a_relay() {
-    let (leaving, staying) = two_bricks();
+    let (leaving, staying) = two_nodes();
     let discovery = Discovery::start(&entries((&leaving, "ready"), &staying));
-    let relay = Relay::start("relay-1", discovery.address).current();
+    let relay = Relay::start("relay-1", discovery.address).wait_until_current();
     let head = head(&[&relay], "null");
-    assert_eq!(ask(&head), 200);
+    assert_eq!(send_request(&head), 200);
     // The one that is used is the one that leaves.
     let (name, leaving) = if leaving.seen().is_empty() { ("s-2", &staying) } else { ("s-1", &leaving) };
     assert_eq!(primary(&head), "relay-1");
     assert_eq!(gauge(&head, "relays_reachable"), 1);
     discovery.push(&[entry(name, leaving.address, 0, "draining")]);
-    println!("in force after {:?}", excluded(&head, 1, IN_FORCE));
-    is_left_alone(&head, leaving);
+    println!("in force after {:?}", wait_for_excluded_nodes(&head, 1, PROPAGATION_LIMIT));
+    assert_gets_no_requests(&head, leaving);
 }
 
 #[test]
 fn a_change_made_while_the_primary_relay_dies_comes_through_the_spare() {
     for killed_first in [true, false] {
-        let (leaving, staying) = two_bricks();
+        let (leaving, staying) = two_nodes();
         let discovery = Discovery::start(&entries((&leaving, "ready"), &staying));
-        let mut relays = ["relay-1", "relay-2"].map(|name| Relay::start(name, discovery.address).current());
+        let mut relays =
+            ["relay-1", "relay-2"].map(|name| Relay::start(name, discovery.address).wait_until_current());
         let head = head(&[&relays[0], &relays[1]], "null");
         wait(|| (gauge(&head, "relays_reachable") == 2).then_some(()));
         let first = primary(&head);
@@ -256,34 +257,34 @@
             discovery.push(&drain);
             dying.kill();
         }
-        println!("in force after {:?}", excluded(&head, 1, IN_FORCE));
-        is_left_alone(&head, &leaving);
+        println!("in force after {:?}", wait_for_excluded_nodes(&head, 1, PROPAGATION_LIMIT));
+        assert_gets_no_requests(&head, &leaving);
         wait(|| (primary(&head) != first).then_some(()));
-        is_left_alone(&head, &leaving);
+        assert_gets_no_requests(&head, &leaving);
         assert_eq!(gauge(&head, "bricks_excluded"), 1, "no older list since");
     }
 }
 
 #[test]
-fn a_head_that_loses_its_relay_takes_no_older_list_from_one_that_is_behind() {
-    let (leaving, staying) = two_bricks();
+fn a_head_that_loses_its_relay_applies_no_older_list_from_another_relay() {
+    let (leaving, staying) = two_nodes();
     let sources = [(), ()].map(|()| Discovery::start(&entries((&leaving, "ready"), &staying)));
     let mut relays = [
-        Relay::start("relay-1", sources[0].address).current(),
-        Relay::start("relay-2", sources[1].address).current(),
+        Relay::start("relay-1", sources[0].address).wait_until_current(),
+        Relay::start("relay-2", sources[1].address).wait_until_current(),
     ];
     let head = head(&[&relays[0], &relays[1]], "null");
     wait(|| (gauge(&head, "relays_reachable") == 2).then_some(()));
     let ahead = usize::from(primary(&head) == "relay-2");
     // The other relay's source never hears of it.
     sources[ahead].push(&[entry("s-1", leaving.address, 0, "draining")]);
-    excluded(&head, 1, IN_FORCE);
+    wait_for_excluded_nodes(&head, 1, PROPAGATION_LIMIT);
     relays[ahead].kill();
     wait(|| (gauge(&head, "relays_reachable") == 1).then_some(()));
     let before = leaving.seen().len();
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(4) {
-        assert_eq!(ask(&head), 200);
+        assert_eq!(send_request(&head), 200);
         thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(leaving.seen().len(), before, "the older list does not bring it back");
@@ -291,78 +292,78 @@
 }
 
 #[test]
-fn a_head_leaves_a_relay_whose_upstream_is_silent_past_the_lease() {
-    let (leaving, staying) = two_bricks();
+fn a_head_leaves_a_relay_whose_lease_has_expired() {
+    let (leaving, staying) = two_nodes();
     let sources = [(), ()].map(|()| Discovery::start(&entries((&leaving, "ready"), &staying)));
     let relays = [
-        Relay::start("relay-1", sources[0].address).current(),
-        Relay::start("relay-2", sources[1].address).current(),
+        Relay::start("relay-1", sources[0].address).wait_until_current(),
+        Relay::start("relay-2", sources[1].address).wait_until_current(),
     ];
     let head = head(&[&relays[0], &relays[1]], "null");
     wait(|| (gauge(&head, "relays_reachable") == 2).then_some(()));
     let first = primary(&head);
-    let (silent, speaking) = if first == "relay-1" { (0, 1) } else { (1, 0) };
-    sources[silent].cut_off(true);
+    let (isolated, connected) = if first == "relay-1" { (0, 1) } else { (1, 0) };
+    sources[isolated].cut_off(true);
     let since = Instant::now();
-    wait(|| (get(relays[silent].address, "/-/ready").status() == 503).then_some(()));
+    wait(|| (get(relays[isolated].address, "/-/ready").status() == 503).then_some(()));
     assert_eq!(
-        get(relays[silent].address, "/api/targets").status(),
+        get(relays[isolated].address, "/api/targets").status(),
         503,
         "it serves no list that may be old"
     );
-    assert_eq!(get(relays[silent].address, "/api/targets?follow=1&since=1").status(), 503);
+    assert_eq!(get(relays[isolated].address, "/api/targets?follow=1&since=1").status(), 503);
     wait(|| (primary(&head) != first).then_some(()));
     println!("moved after {:?}", since.elapsed());
-    assert!(since.elapsed() <= 2 * MOVED, "moved after {:?}", since.elapsed());
-    sources[speaking].push(&[entry("s-1", leaving.address, 0, "draining")]);
-    excluded(&head, 1, IN_FORCE);
-    is_left_alone(&head, &leaving);
-    assert_eq!(relays[silent].counter("lease_expired"), 1);
+    assert!(since.elapsed() <= 2 * FAILOVER_LIMIT, "moved after {:?}", since.elapsed());
+    sources[connected].push(&[entry("s-1", leaving.address, 0, "draining")]);
+    wait_for_excluded_nodes(&head, 1, PROPAGATION_LIMIT);
+    assert_gets_no_requests(&head, &leaving);
+    assert_eq!(relays[isolated].counter("lease_expired"), 1);
 }
 
 #[test]
 fn a_head_with_an_earlier_list_serves_without_relays_and_is_current_once_one_returns() {
-    let (leaving, staying) = two_bricks();
+    let (leaving, staying) = two_nodes();
     let discovery = Discovery::start(&entries((&leaving, "ready"), &staying));
     let known =
         format!(r#"{{"rev":1,"all":true,"targets":[{}]}}"#, entries((&leaving, "ready"), &staying).join(","));
-    let addresses = [nowhere(), nowhere()];
+    let addresses = [unused_address(), unused_address()];
     let head = head_at(&[("relay-1", addresses[0]), ("relay-2", addresses[1])], &known);
-    assert_eq!(ask(&head), 200);
-    let said = wait(|| head.logged("in service with the list of an earlier life"));
-    assert!(said.contains("version 1") && said.contains("no relay is reachable"), "{said}");
+    assert_eq!(send_request(&head), 200);
+    let line = wait(|| head.logged("in service with the list of an earlier life"));
+    assert!(line.contains("version 1") && line.contains("no relay is reachable"), "{line}");
     assert_eq!(gauge(&head, "relays_reachable"), 0);
     discovery.push(&[entry("s-1", leaving.address, 0, "draining")]);
-    let _relay = Relay::start_at("relay-1", addresses[0], discovery.address, "").current();
-    println!("current after {:?}", excluded(&head, 1, MOVED));
-    is_left_alone(&head, &leaving);
+    let _relay = Relay::start_at("relay-1", addresses[0], discovery.address, "").wait_until_current();
+    println!("current after {:?}", wait_for_excluded_nodes(&head, 1, FAILOVER_LIMIT));
+    assert_gets_no_requests(&head, &leaving);
 }
 
 #[test]
 fn a_relay_that_restarts_empty_is_rebuilt_from_discovery() {
-    let (leaving, staying) = two_bricks();
+    let (leaving, staying) = two_nodes();
     let discovery = Discovery::start(&entries((&leaving, "ready"), &staying));
-    let mut relay = Relay::start("relay-1", discovery.address).current();
+    let mut relay = Relay::start("relay-1", discovery.address).wait_until_current();
     let address = relay.address;
     let head = head(&[&relay], "null");
     discovery.push(&[entry("s-1", leaving.address, 0, "draining")]);
-    excluded(&head, 1, IN_FORCE);
+    wait_for_excluded_nodes(&head, 1, PROPAGATION_LIMIT);
     relay.kill();
     let since = Instant::now();
-    let relay = Relay::start_at("relay-1", address, discovery.address, "").current();
+    let relay = Relay::start_at("relay-1", address, discovery.address, "").wait_until_current();
     println!("rebuilt after {:?}", since.elapsed());
-    assert!(since.elapsed() <= REBUILT, "rebuilt after {:?}", since.elapsed());
+    assert!(since.elapsed() <= REBUILD_LIMIT, "rebuilt after {:?}", since.elapsed());
     // This discovery's list asked for is that of its start; what changed since comes with the watch.
     wait(|| (relay.counter("version") == 2).then_some(()));
     assert_eq!(relay.counter("nodes"), 2);
     wait(|| (relay.counter("watchers") == 1).then_some(()));
     discovery.push(&[entry("s-2", staying.address, 0, "draining")]);
-    excluded(&head, 2, IN_FORCE);
+    wait_for_excluded_nodes(&head, 2, PROPAGATION_LIMIT);
 }
 
 #[test]
 fn a_relay_that_starts_before_its_upstream_is_current_soon_after_it() {
-    let address = nowhere();
+    let address = unused_address();
     let relay = Relay::start("relay-1", address);
     assert_eq!(get(relay.address, "/-/ready").status(), 503);
     assert_eq!(get(relay.address, "/api/targets").status(), 503);
@@ -381,13 +382,13 @@
     });
     wait(|| (get(relay.address, "/-/ready").status() == 200).then_some(()));
     println!("found after {:?}", since.elapsed());
-    assert!(since.elapsed() <= REBUILT, "found after {:?}", since.elapsed());
+    assert!(since.elapsed() <= REBUILD_LIMIT, "found after {:?}", since.elapsed());
     assert_eq!(relay.counter("version"), 7);
 }
 
 #[test]
-fn a_discovery_that_counts_its_versions_anew_reaches_heads_through_a_relay() {
-    let (leaving, staying) = two_bricks();
+fn a_renumbered_discovery_reaches_heads_through_a_relay() {
+    let (leaving, staying) = two_nodes();
     let first = entries((&leaving, "ready"), &staying);
     let mut second = entries((&leaving, "draining"), &staying);
     second.push(entry("s-3", staying.address, 0, "ready"));
@@ -396,29 +397,29 @@
         (1, _) => vec![Say::Line(list(50, false, &[])), Say::Pause(Duration::from_secs(1)), Say::Close],
         _ => vec![Say::Line(list(2, true, &second))],
     });
-    let relay = Relay::start("relay-1", discovery.address).current();
+    let relay = Relay::start("relay-1", discovery.address).wait_until_current();
     let head = head(&[&relay], "null");
-    excluded(&head, 1, Duration::from_secs(5));
+    wait_for_excluded_nodes(&head, 1, Duration::from_secs(5));
     assert_eq!(gauge(&head, "bricks_known"), 2, "an older list may only take nodes out");
     wait(|| (relay.counter("generation") == 1).then_some(()));
     assert_eq!(relay.counter("version"), 2);
     wait(|| (gauge(&head, "bricks_known") == 3).then_some(()));
     assert_eq!(gauge(&head, "bricks_excluded"), 1);
-    is_left_alone(&head, &leaving);
+    assert_gets_no_requests(&head, &leaving);
 }
 
 #[test]
-fn a_watcher_that_does_not_read_is_cut_off_and_others_get_each_change() {
+fn a_slow_reader_is_disconnected_and_others_get_each_change() {
     let brick: SocketAddr = ([127, 0, 0, 1], 9).into();
     let many: Vec<String> = (0..6000).map(|n| entry(&format!("s-{n:08}"), brick, n % 8, "ready")).collect();
     let discovery = Discovery::start(&many);
     let listen = ([127, 0, 0, 1], 0).into();
     let limits = "[limits]\nslow_reader_s = 0.5\n";
-    let relay = Relay::start_at("relay-1", listen, discovery.address, limits).current();
+    let relay = Relay::start_at("relay-1", listen, discovery.address, limits).wait_until_current();
     let mut reading = [Watch::open(relay.address, 0), Watch::open(relay.address, 0)];
     assert!(reading.iter_mut().all(|watch| watch.next_version() == Some(1)));
-    let mut stuck = Client::with_little_room(relay.address);
-    stuck.send("GET /api/targets?follow=1&since=0 HTTP/1.1\r\nHost: relay\r\n\r\n", b"");
+    let mut stalled = Client::with_little_room(relay.address);
+    stalled.send("GET /api/targets?follow=1&since=0 HTTP/1.1\r\nHost: relay\r\n\r\n", b"");
     wait(|| (relay.counter("watchers") == 3).then_some(()));
     let since = Instant::now();
     for version in 2..=6 {
@@ -437,9 +438,9 @@
 
 #[test]
 fn watches_resume_from_the_version_they_have() {
-    let (leaving, staying) = two_bricks();
+    let (leaving, staying) = two_nodes();
     let discovery = Discovery::start(&entries((&leaving, "ready"), &staying));
-    let relay = Relay::start("relay-1", discovery.address).current();
+    let relay = Relay::start("relay-1", discovery.address).wait_until_current();
     for _ in 0..3 {
         discovery.push(&[entry("s-1", leaving.address, 0, "draining")]);
     }
@@ -452,10 +453,11 @@
 }
 
 #[test]
-fn sigterm_ends_the_watches_and_the_head_moves() {
-    let (leaving, staying) = two_bricks();
+fn sigterm_ends_the_watches_and_the_head_uses_its_spare() {
+    let (leaving, staying) = two_nodes();
     let discovery = Discovery::start(&entries((&leaving, "ready"), &staying));
-    let mut relays = ["relay-1", "relay-2"].map(|name| Relay::start(name, discovery.address).current());
+    let mut relays =
+        ["relay-1", "relay-2"].map(|name| Relay::start(name, discovery.address).wait_until_current());
     let head = head(&[&relays[0], &relays[1]], "null");
     wait(|| (gauge(&head, "relays_reachable") == 2).then_some(()));
     let first = primary(&head);
@@ -466,13 +468,19 @@
     assert!(wait(|| ending.child.try_wait().expect("a child")).success());
     wait(|| (primary(&head) != first).then_some(()));
     discovery.push(&[entry("s-1", leaving.address, 0, "draining")]);
-    excluded(&head, 1, IN_FORCE);
+    wait_for_excluded_nodes(&head, 1, PROPAGATION_LIMIT);
 }
 
-/// Starts a program that must end with an error; its exit code and what it said.
-fn fails(command: &mut Command) -> (Option<i32>, String) {
+/// A program that ended with an error.
+struct FailedRun {
+    exit_code: Option<i32>,
+    stderr: String,
+}
+
+/// Runs a program that must end with an error.
+fn run_to_failure(command: &mut Command) -> FailedRun {
     let Output { status, stderr, .. } = command.stderr(Stdio::piped()).output().expect("it starts");
-    (status.code(), String::from_utf8_lossy(&stderr).into_owned())
+    FailedRun { exit_code: status.code(), stderr: String::from_utf8_lossy(&stderr).into_owned() }
 }
 
 #[test]
@@ -487,14 +495,15 @@
         (format!("{good}[limits]\nslow_reader_s = -1.0\n"), "line 5: limits.slow_reader_s: -1 is not from"),
         (format!("{good}[limits]\nspeed = 1\n"), "speed"),
     ];
-    for (text, told) in bad {
-        let file = File::new(&text);
-        let (code, said) = fails(Command::new(env!("CARGO_BIN_EXE_flaxgap-relay")).arg(file.path()));
-        assert_eq!(code, Some(1), "{text}");
-        assert!(said.contains(told) && said.contains(file.path()), "{told} in {said}");
+    for (text, expected) in bad {
+        let file = TempFile::new(&text);
+        let failed = run_to_failure(Command::new(env!("CARGO_BIN_EXE_flaxgap-relay")).arg(file.path()));
+        assert_eq!(failed.exit_code, Some(1), "{text}");
+        let output = &failed.stderr;
+        assert!(output.contains(expected) && output.contains(file.path()), "{expected} in {output}");
     }
-    let (code, said) = fails(Command::new(env!("CARGO_BIN_EXE_flaxgap-relay")).arg("no/such/file.toml"));
-    assert!(code == Some(1) && said.contains("no/such/file.toml"), "{said}");
+    let failed = run_to_failure(Command::new(env!("CARGO_BIN_EXE_flaxgap-relay")).arg("no/such/file.toml"));
+    assert!(failed.exit_code == Some(1) && failed.stderr.contains("no/such/file.toml"), "{}", failed.stderr);
 }
 
 #[test]
@@ -525,28 +534,30 @@
         ),
         (table(&[good]).replace("region = \"r1\"\nzone", "zone"), "region"),
     ];
-    for (text, told) in bad {
-        let (file, settings) = (File::new(&text), File::new(&config_at(nowhere(), 1024, "null")));
+    for (text, expected) in bad {
+        let (file, settings) =
+            (TempFile::new(&text), TempFile::new(&config_at(unused_address(), 1024, "null")));
         let mut command = Command::new(env!("CARGO_BIN_EXE_flaxgap"));
         command.env("LB_CONFIG", settings.path()).env("FLAXGAP_OPS", file.path()).env_remove("LB_OPS");
-        let (code, said) = fails(&mut command);
-        assert_eq!(code, Some(1), "{text}");
-        assert!(said.contains(told) && said.contains(file.path()), "{told} in {said}");
+        let failed = run_to_failure(&mut command);
+        assert_eq!(failed.exit_code, Some(1), "{text}");
+        let output = &failed.stderr;
+        assert!(output.contains(expected) && output.contains(file.path()), "{expected} in {output}");
     }
 }
 
 #[test]
 fn a_reload_that_changes_the_distribution_says_that_it_takes_a_restart() {
-    let (leaving, staying) = two_bricks();
+    let (leaving, staying) = two_nodes();
     let discovery = Discovery::start(&entries((&leaving, "ready"), &staying));
-    let relay = Relay::start("relay-1", discovery.address).current();
+    let relay = Relay::start("relay-1", discovery.address).wait_until_current();
     let file = distribution(&[("relay-1", relay.address)]);
-    let text = config_at(nowhere(), 1024, "null");
+    let text = config_at(unused_address(), 1024, "null");
     let head = Head::start_text(&text, None, &[("FLAXGAP_OPS", file.path())]);
     head.reload(&text);
     wait(|| head.logged("daemon: reloaded"));
     assert!(head.logged("takes a restart").is_none());
-    let other = distribution(&[("relay-1", relay.address), ("relay-2", nowhere())]);
+    let other = distribution(&[("relay-1", relay.address), ("relay-2", unused_address())]);
     std::fs::copy(&other.0, &file.0).expect("written");
     head.signal("-HUP");
     wait(|| head.logged("the operators' file, but for its levels, changed, which takes a restart"));
@@ -557,7 +568,7 @@
 fn the_example_configuration_is_served() {
     let text = std::fs::read_to_string("deploy/relay.toml").expect("the example");
     let text = text.replace("0.0.0.0:8087", "127.0.0.1:0");
-    let file = File::new(&text);
+    let file = TempFile::new(&text);
     let mut command = Command::new(env!("CARGO_BIN_EXE_flaxgap-relay"));
     let mut child = command.arg(file.path()).stderr(Stdio::piped()).spawn().expect("it starts");
     let from = BufReader::new(child.stderr.take().expect("piped"));
