--- a/crates/attempts/src/lib.rs
+++ b/crates/attempts/src/lib.rs
@@ -1,5 +1,5 @@
-//! The sends of one request: where each went, how it ended, and what is known of them together. Time is an argument,
-//! in seconds.
+//! The attempts of one request: where each was sent, how it ended, and what that says of the request. Time is an
+//! argument, in seconds.
 
 use flaxgap_shard_table::{ShardId, ZoneId};
 
@@ -18,7 +18,7 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled by this head; it may have run.
     Cancelled,
     /// Not sent.
     NotSent,
@@ -36,35 +36,35 @@
     }
 }
 
-/// How an attempt ended, and what that means for its request.
+/// The end of an attempt, and what it means for the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct End {
-    /// How it ended.
+pub struct AttemptEnd {
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// After how many seconds.
-    pub elapsed: f64,
-    /// Whether the request is over.
-    pub done: bool,
-    /// Whether the request can't be sent again.
-    pub last: bool,
+    /// Seconds since it was sent.
+    pub elapsed_s: f64,
+    /// Whether the request is complete; if not, an answer is still owed.
+    pub request_done: bool,
+    /// Whether the request can't be sent again, since its data are no longer in memory.
+    pub not_resendable: bool,
 }
 
-/// One send of a request.
+/// One attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt {
-    /// The shard whose node it went to.
+    /// The shard whose node it was sent to.
     pub shard: ShardId,
     /// The zone of that node.
     pub zone: ZoneId,
-    /// Which of the nodes that followed each other at the shard that was.
+    /// Which of the nodes that served the shard one after the other it was sent to.
     pub epoch: u32,
     /// When it was sent.
-    pub at: f64,
-    /// How it ended; `None` while it is out.
+    pub sent_at: f64,
+    /// How it ended; `None` while it is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
 
-/// All sends of one request, in their order.
+/// All attempts of one request, in the order in which they were sent.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts(Vec<Attempt>);
 
@@ -79,42 +79,42 @@
         self.0.is_empty()
     }
 
-    /// The request was sent.
+    /// Adds an attempt that was sent.
     pub fn push(&mut self, attempt: Attempt) {
         self.0.push(attempt);
     }
 
-    /// An attempt ended. Returns it, unless it is unknown or had ended before.
-    pub fn end(&mut self, nth: usize, outcome: AttemptOutcome) -> Option<Attempt> {
-        let attempt = self.0.get_mut(nth).filter(|attempt| attempt.outcome.is_none())?;
+    /// Records the end of an attempt. Returns the attempt, unless it is unknown or had ended before.
+    pub fn record_end(&mut self, index: usize, outcome: AttemptOutcome) -> Option<Attempt> {
+        let attempt = self.0.get_mut(index).filter(|attempt| attempt.outcome.is_none())?;
         attempt.outcome = Some(outcome);
         Some(*attempt)
     }
 
-    /// Those that are out, each with its place.
-    pub fn out(&self) -> impl Iterator<Item = (usize, &Attempt)> {
-        self.0.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none())
+    /// The indexes of the attempts in flight.
+    pub fn in_flight(&self) -> impl Iterator<Item = usize> {
+        let indexed = self.0.iter().enumerate();
+        indexed.filter(|(_, attempt)| attempt.outcome.is_none()).map(|(index, _)| index)
     }
 
-    /// Whether one is out.
-    pub fn is_out(&self) -> bool {
-        self.out().next().is_some()
+    /// Whether an attempt is in flight.
+    pub fn has_in_flight(&self) -> bool {
+        self.in_flight().next().is_some()
     }
 
-    /// Where the first of those went.
-    pub fn out_at(&self) -> Option<ShardId> {
-        self.out().next().map(|(_, attempt)| attempt.shard)
+    /// The shard whose node the first attempt in flight was sent to.
+    pub fn in_flight_shard(&self) -> Option<ShardId> {
+        self.in_flight().next().map(|index| self.0[index].shard)
     }
 
-    /// Those that ran, may have run or may yet run.
+    /// The attempts that ran, may have run or may yet run.
     pub fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.0.iter().filter(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
 
-    /// Whether a node is known to have had the whole request.
-    pub fn taken(&self) -> bool {
-        self.0
-            .iter()
-            .any(|attempt| matches!(attempt.outcome, Some(AttemptOutcome::Rejected | AttemptOutcome::Error)))
+    /// Whether a node is known to have received the complete request.
+    pub fn was_received(&self) -> bool {
+        let received = [Some(AttemptOutcome::Rejected), Some(AttemptOutcome::Error)];
+        self.0.iter().any(|attempt| received.contains(&attempt.outcome))
     }
 }
--- a/crates/attempts/tests/attempts.rs
+++ b/crates/attempts/tests/attempts.rs
@@ -1,28 +1,31 @@
-//! What the sends of one request tell together.
+//! What the attempts of one request say of it together.
 
 use flaxgap_attempts::{Attempt, AttemptOutcome, Attempts};
 use flaxgap_shard_table::{ShardId, ZoneId};
 
 fn sent(shard: u32) -> Attempt {
-    Attempt { shard: ShardId(shard), zone: ZoneId(0), epoch: 1, at: 2.0, outcome: None }
+    Attempt { shard: ShardId(shard), zone: ZoneId(0), epoch: 1, sent_at: 2.0, outcome: None }
 }
 
 #[test]
-fn an_attempt_is_out_until_its_first_outcome() {
+fn an_attempt_is_in_flight_until_its_first_outcome() {
     let mut attempts = Attempts::default();
-    assert!(attempts.is_empty() && !attempts.is_out());
+    assert!(attempts.is_empty() && !attempts.has_in_flight());
     attempts.push(sent(3));
-    assert_eq!(attempts.out_at(), Some(ShardId(3)));
-    assert_eq!(attempts.end(1, AttemptOutcome::Ok), None, "there was no second one");
-    assert_eq!(attempts.end(0, AttemptOutcome::Rejected).map(|attempt| attempt.shard), Some(ShardId(3)));
-    assert_eq!(attempts.end(0, AttemptOutcome::Ok), None, "it has ended");
+    assert_eq!(attempts.in_flight_shard(), Some(ShardId(3)));
+    assert_eq!(attempts.record_end(1, AttemptOutcome::Ok), None, "there was no second one");
+    assert_eq!(
+        attempts.record_end(0, AttemptOutcome::Rejected).map(|attempt| attempt.shard),
+        Some(ShardId(3))
+    );
+    assert_eq!(attempts.record_end(0, AttemptOutcome::Ok), None, "it has ended");
     attempts.push(sent(5));
-    assert_eq!(attempts.out().map(|(nth, _)| nth).collect::<Vec<_>>(), [1]);
+    assert_eq!(attempts.in_flight().collect::<Vec<_>>(), [1]);
     assert_eq!(attempts.len(), 2);
 }
 
 #[test]
-fn only_some_outcomes_prove_that_it_never_ran_or_was_taken() {
+fn only_some_outcomes_prove_that_it_never_ran_or_was_received() {
     let all = [
         (AttemptOutcome::Ok, true, false),
         (AttemptOutcome::Error, true, true),
@@ -33,12 +36,12 @@
         (AttemptOutcome::Cancelled, true, false),
         (AttemptOutcome::NotSent, false, false),
     ];
-    for (outcome, may_have_run, taken) in all {
+    for (outcome, may_have_run, was_received) in all {
         let mut attempts = Attempts::default();
         attempts.push(sent(0));
-        assert!(attempts.may_have_run().next().is_some() && !attempts.taken(), "it is out");
-        attempts.end(0, outcome);
+        assert!(attempts.may_have_run().next().is_some() && !attempts.was_received(), "it is in flight");
+        attempts.record_end(0, outcome);
         assert_eq!(attempts.may_have_run().next().is_some(), may_have_run, "{outcome:?}");
-        assert_eq!(attempts.taken(), taken, "{outcome:?}");
+        assert_eq!(attempts.was_received(), was_received, "{outcome:?}");
     }
 }
--- a/crates/lab/src/guard/heads.rs
+++ b/crates/lab/src/guard/heads.rs
@@ -8,7 +8,7 @@
     Action, AttemptOutcome, Class, ClassId, Endpoint, Event, ExtentId, Idempotency, LoadReport, NodeId,
     NodeState, Plan, PlanId, RequestId, SchedulerSettings, ShardId, UpdateKind, VolumeId, ZoneId,
 };
-use flaxgap_slow_start::{Pace, SlowStart};
+use flaxgap_slow_start::{AnswerSpeed, NodeCondition, SenderShare, SlowStart, WaitingRequest};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -89,7 +89,9 @@
 
     fn rate(&self, head: usize, age: f64, slow: bool) -> Option<f64> {
         let heads = f64::from(self.case.heads);
-        self.views[head].rate(&COLD, (heads, 1.0), age, age.max(0.0), slow)
+        let sender = SenderShare { heads, process_share: 1.0 };
+        let node = NodeCondition { age_s: age.max(0.0), is_slow: slow };
+        self.views[head].allowed_rate(&COLD, sender, node, age)
     }
 
     /// Whether a head's first request may go now.
@@ -99,8 +101,8 @@
         }
         let Some(rate) = self.rate(head, age, slow) else { return true };
         let Some(first) = self.waiting[head].front() else { return false };
-        let (size, sample) = ((first.units, true), first.sample);
-        self.views[head].wait(&COLD, rate, age, size, sample) <= 0.0
+        let request = WaitingRequest { units: first.units, is_due: true, sample: first.sample };
+        self.views[head].wait_s(&COLD, rate, request, age) <= 0.0
     }
 }
 
@@ -110,28 +112,28 @@
             if !keep {
                 *view = SlowStart::new(COLD.warm_up_s, 0.0);
             }
-            view.started(0.0);
+            view.record_node_start(0.0);
         }
         Ok(())
     }
 
     fn arrived(&mut self, age: f64, arrival: Arrival) {
         let Arrival { head, units, sample } = arrival;
-        self.views[head].due(age, units);
+        self.views[head].record_due(age, units);
         self.waiting[head].push_back(Waiting { since: age, units, sample });
         self.busy.insert(head);
     }
 
     fn served(&mut self, age: f64, served: &Sent) {
         let latency = age - served.sent_at;
-        let pace = if latency < QUICK {
-            Pace::Quick
+        let speed = if latency < QUICK {
+            AnswerSpeed::Fast
         } else if latency > SLOW {
-            Pace::Slow
+            AnswerSpeed::Slow
         } else {
-            Pace::Fair
+            AnswerSpeed::Normal
         };
-        self.views[served.attempt.head].answered(pace);
+        self.views[served.attempt.head].record_answer(speed);
     }
 
     fn decide(&mut self, age: f64, oldest: &dyn Fn(usize) -> Option<f64>) -> Vec<Request> {
@@ -142,7 +144,7 @@
             if self.may_send(head, age, slow)
                 && let Some(first) = self.waiting[head].pop_front()
             {
-                self.views[head].sent(first.units);
+                self.views[head].record_sent(first.units);
                 self.next_request += 1;
                 let attempt = Attempt { head, request: self.next_request, nth: 0 };
                 let (units, arrived_at) = (first.units, first.since);
--- a/crates/shard-table/src/list.rs
+++ b/crates/shard-table/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The node list: its entries and the kinds of news about it.
+//! The endpoint list: its entries and the kinds of updates to it.
 
 /// A storage node process as the list names it. A replacement has another id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -8,16 +8,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardId(pub u32);
 
-/// A zone, as the list and the settings number them.
+/// A zone, as the endpoint list and the settings number them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u16);
 
-/// Whether a node takes work, as the list has it.
+/// Whether a node takes work, as the endpoint list says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
     /// Takes work.
     Ready,
-    /// Finishes its work; must get none.
+    /// Finishes its work; must get no new work.
     Draining,
     /// Removed.
     Gone,
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -1,7 +1,12 @@
-//! Slow start of a storage node before many heads that share nothing: what one head may send a node that just
-//! started, so that all heads together stay under what makes a cold node fall. A head works from what was due to it
-//! at the node before, and from the node's latency, which tells of the load of all heads. Time is an argument, in
-//! seconds; sizes are units.
+//! Slow start of a storage node behind many heads that share no state: how much one head may send a node that has just
+//! started, so that all heads together stay under the load that makes it fail.
+//!
+//! A head works from the units that were due to it at the node before, and from the node's latency, which shows the
+//! load of all heads. Time is an argument, in seconds; sizes are in units.
+
+mod decaying_rate;
+
+use decaying_rate::DecayingRate;
 
 /// How a node that just started is protected.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,93 +23,88 @@
     pub overload_factor: f64,
 }
 
-/// Least part of its capacity that a node is taken to start with: the guarantee is divided by it.
-const MIN_START_SHARE: f64 = 0.01;
+/// Least fraction of its capacity that a node is assumed to start with: the guarantee is divided by it.
+const MIN_INITIAL_CAPACITY: f64 = 0.01;
 
 impl SlowStartSettings {
-    /// The part of its capacity that a node has at least for all of the span that ends so long after its start.
-    /// `None`: it is warm.
-    fn capacity_share(&self, age: f64) -> Option<f64> {
-        if age >= self.warm_up_s + self.window_s || self.window_s <= 0.0 {
+    /// The fraction of its capacity that a node has at least during all of the window that ends `age_s` after its
+    /// start. `None`: it has warmed up.
+    fn capacity_fraction(&self, age_s: f64) -> Option<f64> {
+        if age_s >= self.warm_up_s + self.window_s || self.window_s <= 0.0 {
             return None;
         }
-        let from = self.start_share();
-        let ramp = ((age - self.window_s).max(0.0) / self.warm_up_s.max(self.window_s)).min(1.0);
-        Some(from + (1.0 - from) * ramp)
+        let initial = self.initial_capacity_fraction();
+        let window_start_s = (age_s - self.window_s).max(0.0);
+        let progress = (window_start_s / self.warm_up_s.max(self.window_s)).min(1.0);
+        Some(initial + (1.0 - initial) * progress)
     }
 
-    fn start_share(&self) -> f64 {
-        self.initial_capacity.clamp(MIN_START_SHARE, 1.0)
+    fn initial_capacity_fraction(&self) -> f64 {
+        self.initial_capacity.clamp(MIN_INITIAL_CAPACITY, 1.0)
     }
 }
 
-/// Part of what a cold node is taken to bear that is used; the rest is for chance.
-const SAFETY_SHARE: f64 = 0.75;
-/// Factor by which a quick answer of the node raises this head's allowance, and a slow one lowers it. The node's
-/// backlog at most doubles within one round of answers, and each of those has to be quick.
+/// Fraction of what a starting node is assumed to bear that is used; the rest is for random variation.
+const USED_FRACTION: f64 = 0.75;
+/// Factor by which a fast answer of the node raises this head's allowance, and a slow one lowers it. The node's
+/// backlog at most doubles within one round of answers, and each of those has to be fast.
 const TRUST_STEP: f64 = 2.0;
-/// Upper bound of that factor in all: past it, trust would be lost too slowly. The allowance of a thousand heads is
-/// then the whole.
+/// Upper bound of the trust: past it, trust would be lost too slowly. The allowance of a thousand heads is then the
+/// complete guarantee.
 const MAX_TRUST: f64 = 1024.0;
-/// Shortest memory of a rate, in seconds.
-const MIN_MEMORY: f64 = 0.5;
-/// Least part of the memory that a short past counts for: a first request is no rate yet.
-const MIN_KNOWN_SHARE: f64 = 0.5;
-
-/// An exponentially decaying mean rate, in units a second. It knows how long its past is, and so is right from the
-/// start.
-#[derive(Clone, Copy, Debug)]
-struct DecayingRate {
-    memory: f64,
-    since: f64,
-    sum: f64,
-    at: f64,
-}
-
-impl DecayingRate {
-    fn new(memory: f64, now: f64) -> DecayingRate {
-        DecayingRate { memory, since: now, sum: 0.0, at: now }
-    }
-
-    fn add(&mut self, now: f64, units: f64) {
-        self.sum = self.sum * self.decay(self.at, now) + units;
-        self.at = now;
-    }
-
-    fn per_second(&self, now: f64) -> f64 {
-        let known = 1.0 - self.decay(self.since, now);
-        self.sum * self.decay(self.at, now) / (self.memory * known.max(MIN_KNOWN_SHARE))
-    }
-
-    /// What is left at `now` of what was counted at `from`.
-    fn decay(&self, from: f64, now: f64) -> f64 {
-        ((from - now) / self.memory).exp()
-    }
-}
 
 /// How soon an answer came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pace {
+pub enum AnswerSpeed {
     /// So soon that the node has little pending.
-    Quick,
+    Fast,
     /// Neither.
-    Fair,
-    /// Later than is wanted of the node.
+    Normal,
+    /// Later than the node should answer.
     Slow,
 }
 
-/// One head's view of the node that holds one shard, through the nodes that succeed each other there.
+/// This process among those that send to a node.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SenderShare {
+    /// Number of heads.
+    pub heads: f64,
+    /// Fraction of its head's share that this process may send.
+    pub process_share: f64,
+}
+
+/// A node at the moment of a decision.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct NodeCondition {
+    /// Seconds since its start.
+    pub age_s: f64,
+    /// Whether it takes long to answer now.
+    pub is_slow: bool,
+}
+
+/// A request that waits for a starting node.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WaitingRequest {
+    /// Its size.
+    pub units: f64,
+    /// Whether it is due to this head: inside a reserve.
+    pub is_due: bool,
+    /// Its random sample, in [0, 1).
+    pub sample: f64,
+}
+
+/// One head's view of the node that serves one shard, through the nodes that serve it one after the other.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// What was due to this head there.
+    /// What is due to this head at the shard.
     due: DecayingRate,
-    /// Units a second of it when the node started.
+    /// The same when the node started, in units a second.
     due_at_start: f64,
-    /// Factor on this head's allowance that the node's quick answers have earned.
+    /// Factor on this head's allowance that the node's fast answers have earned.
     trust: f64,
-    /// Token bucket: units saved up, below 0 what was sent ahead. None before the first request.
+    /// Token bucket: units saved up; below 0, units sent ahead. `None` before the first request.
     tokens: Option<f64>,
-    /// When they were counted.
+    /// When the tokens were counted.
     tokens_at: f64,
 }
 
@@ -115,93 +115,92 @@
 }
 
 impl SlowStart {
-    /// Of a shard whose node this head first hears of. What was due fades within the time in which nodes warm up.
-    pub fn new(warm_within: f64, now: f64) -> SlowStart {
-        let due = DecayingRate::new(warm_within.max(MIN_MEMORY), now);
+    /// The view of a shard that this head first hears of. What was due fades within the time in which nodes warm up.
+    pub fn new(warm_up_s: f64, now: f64) -> SlowStart {
+        let due = DecayingRate::new(warm_up_s, now);
         SlowStart { due, due_at_start: 0.0, trust: 1.0, tokens: None, tokens_at: now }
     }
 
-    /// Another node holds the shard now, or the same one after a restart.
-    pub fn started(&mut self, now: f64) {
+    /// Records that another node serves the shard now, or the same one after a restart.
+    pub fn record_node_start(&mut self, now: f64) {
         let due_at_start = self.due.per_second(now);
         *self = SlowStart { due: self.due, due_at_start, trust: 1.0, tokens: None, tokens_at: now };
     }
 
-    /// Units that were due to this head: inside a reserve when they came, or served.
-    pub fn due(&mut self, now: f64, units: f64) {
+    /// Records units that were due to this head: inside a reserve when they arrived, or served.
+    pub fn record_due(&mut self, now: f64, units: f64) {
         self.due.add(now, units);
     }
 
-    /// The node answered.
-    pub fn answered(&mut self, pace: Pace) {
-        self.trust = match pace {
-            Pace::Quick => (self.trust * TRUST_STEP).min(MAX_TRUST),
-            Pace::Fair => self.trust,
-            Pace::Slow => (self.trust / TRUST_STEP).max(1.0),
+    /// Records an answer of the node.
+    pub fn record_answer(&mut self, speed: AnswerSpeed) {
+        self.trust = match speed {
+            AnswerSpeed::Fast => (self.trust * TRUST_STEP).min(MAX_TRUST),
+            AnswerSpeed::Normal => self.trust,
+            AnswerSpeed::Slow => (self.trust / TRUST_STEP).max(1.0),
         };
     }
 
-    /// The node turned a request away, or broke off.
-    pub fn failed(&mut self) {
+    /// Records that the node rejected a request, or broke a connection.
+    pub fn record_failure(&mut self) {
         self.trust = 1.0;
     }
 
-    /// Units a second that this head, one of `heads`, may send a node of this age. `None`: it is warm.
-    /// `process_share` is this process's share of what is the head's, `slow` whether the node takes long now.
+    /// Records a request that was sent to the node.
+    pub fn record_sent(&mut self, units: f64) {
+        self.tokens = self.tokens.map(|tokens| tokens - units);
+    }
+
+    /// Units a second that this process may send the node. `None`: it has warmed up.
     ///
-    /// It is the head's even share of what is guaranteed or, if more, most of what the rule allows a node that does
+    /// It is the head's even share of what is guaranteed or, if more, most of what the settings allow a node that does
     /// what was due to this head there: over all heads no more than the node did. Of that, a multiple while the
-    /// node answers quickly; alone never more than all heads together may.
-    pub fn rate(
+    /// node answers fast; alone never more than all heads together may.
+    pub fn allowed_rate(
         &self,
-        cold: &SlowStartSettings,
-        (heads, process_share): (f64, f64),
+        settings: &SlowStartSettings,
+        sender: SenderShare,
+        node: NodeCondition,
         now: f64,
-        age: f64,
-        slow: bool,
     ) -> Option<f64> {
-        let capacity_share = cold.capacity_share(age)?;
-        let of_all_heads = process_share * cold.units / cold.window_s * capacity_share / cold.start_share();
-        let by_past = SAFETY_SHARE * cold.overload_factor * capacity_share * self.due_rate(now);
-        let own = by_past.max(of_all_heads / heads);
-        if slow {
-            return Some(own);
+        let capacity_fraction = settings.capacity_fraction(node.age_s)?;
+        let guaranteed_rate = sender.process_share * settings.units / settings.window_s * capacity_fraction
+            / settings.initial_capacity_fraction();
+        let rate_by_due = USED_FRACTION * settings.overload_factor * capacity_fraction * self.due_rate(now);
+        let own_rate = rate_by_due.max(guaranteed_rate / sender.heads);
+        if node.is_slow {
+            return Some(own_rate);
         }
-        Some(own.max(of_all_heads.min(own * self.trust)))
+        Some(own_rate.max(guaranteed_rate.min(own_rate * self.trust)))
     }
 
-    /// Seconds until a request may go at this rate; 0: now. `units` is its size and `due` whether it is due to this
-    /// head; `sample`, in [0, 1), is the request's own random sample.
+    /// Seconds until a request may go at this rate; 0 if it may go now.
     ///
-    /// Tokens are saved up to a whole request, and the first level is random, or all heads would send as one. A
+    /// Tokens are saved up to a complete request, and the first level is random, or all heads would send at once. A
     /// head whose allowance is under one request would save it for one that seldom comes: so what is due goes ahead
     /// of the allowance with the probability that the allowance is of all that is due. Over all heads no more is
     /// due than the node's plans promise.
-    pub fn wait(
+    pub fn wait_s(
         &mut self,
-        cold: &SlowStartSettings,
+        settings: &SlowStartSettings,
         rate: f64,
+        request: WaitingRequest,
         now: f64,
-        (units, due): (f64, bool),
-        sample: f64,
     ) -> f64 {
-        let bucket = units.max((1.0 - SAFETY_SHARE) * rate * cold.window_s);
+        let WaitingRequest { units, is_due, sample } = request;
+        let bucket_size = units.max((1.0 - USED_FRACTION) * rate * settings.window_s);
         let tokens = match self.tokens {
-            Some(tokens) => (tokens + rate * (now - self.tokens_at)).min(bucket),
+            Some(tokens) => (tokens + rate * (now - self.tokens_at)).min(bucket_size),
             None => sample * units,
         };
-        (self.tokens, self.tokens_at) = (Some(tokens), now);
-        let goes_ahead = due && sample * self.due_rate(now) < rate;
-        let needed = if goes_ahead { 0.0 } else { units };
-        (needed - tokens).max(0.0) / rate
-    }
-
-    /// A request went to the node.
-    pub fn sent(&mut self, units: f64) {
-        self.tokens = self.tokens.map(|tokens| tokens - units);
+        self.tokens = Some(tokens);
+        self.tokens_at = now;
+        let goes_ahead = is_due && sample * self.due_rate(now) < rate;
+        let needed_units = if goes_ahead { 0.0 } else { units };
+        (needed_units - tokens).max(0.0) / rate
     }
 
-    /// Units a second that are due to this head: at the node's start, or since if that is more.
+    /// Units a second that are due to this head: at the node's start, or since then if that is more.
     fn due_rate(&self, now: f64) -> f64 {
         self.due_at_start.max(self.due.per_second(now))
     }
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -1,7 +1,9 @@
 //! Many heads before one cold node that serves in turn, in virtual time: what all of them send, against what pushes
 //! the node over and what it could have served.
 
-use flaxgap_slow_start::{Pace, SlowStart, SlowStartSettings};
+use flaxgap_slow_start::{
+    AnswerSpeed, NodeCondition, SenderShare, SlowStart, SlowStartSettings, WaitingRequest,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -51,7 +53,7 @@
         if age.abs() < STEP / 2.0 {
             for view in &mut views {
                 *view = if knows { *view } else { SlowStart::new(COLD.warm_up_s, now) };
-                view.started(now);
+                view.record_node_start(now);
             }
         }
         // The node serves in turn, and an answer tells how long it took.
@@ -62,10 +64,10 @@
             if *units > 0.0 {
                 break;
             }
-            views[*head].answered(match now - *at {
-                quick if quick < QUICK => Pace::Quick,
-                slow if slow > AIM => Pace::Slow,
-                _ => Pace::Fair,
+            views[*head].record_answer(match now - *at {
+                quick if quick < QUICK => AnswerSpeed::Fast,
+                slow if slow > AIM => AnswerSpeed::Slow,
+                _ => AnswerSpeed::Normal,
             });
             queue.pop_front();
         }
@@ -73,19 +75,22 @@
         for head in 0..heads as usize {
             if chance.random_bool(rate * STEP / 2.0) {
                 let units = chance.random_range(1..=3u32).into();
-                views[head].due(now, units);
+                views[head].record_due(now, units);
                 held[head].push_back((now, units, chance.random()));
                 asked += if age >= 0.0 { units } else { 0.0 };
             }
             held[head].retain(|(at, _, _)| now - at < AIM);
-            let Some((_, units, draw)) = held[head].front().copied() else { continue };
+            let Some((_, units, sample)) = held[head].front().copied() else { continue };
             let oldest = queue.iter().find(|(of, _, _)| *of == head).map_or(0.0, |(_, _, at)| now - at);
-            let rate = views[head].rate(&COLD, (f64::from(heads), 1.0), now, age.max(0.0), oldest > AIM);
-            let goes = age < 0.0
-                || rate.is_none_or(|rate| views[head].wait(&COLD, rate, now, (units, true), draw) <= 0.0);
+            let sender = SenderShare { heads: f64::from(heads), process_share: 1.0 };
+            let node = NodeCondition { age_s: age.max(0.0), is_slow: oldest > AIM };
+            let rate = views[head].allowed_rate(&COLD, sender, node, now);
+            let request = WaitingRequest { units, is_due: true, sample };
+            let goes =
+                age < 0.0 || rate.is_none_or(|rate| views[head].wait_s(&COLD, rate, request, now) <= 0.0);
             if goes {
                 held[head].pop_front();
-                views[head].sent(units);
+                views[head].record_sent(units);
                 queue.push_back((head, units, now));
                 sends.extend((age >= 0.0).then_some((now, units)));
                 sent += if (0.0..10.0).contains(&age) { units } else { 0.0 };
--- a/crates/slow-start/tests/standing_bound.rs
+++ b/crates/slow-start/tests/standing_bound.rs
@@ -2,7 +2,9 @@
 //! work in the span that the settings name, N being what the node bears then. Played in virtual time with 20 and 30
 //! heads, with heads that know the node's shard and with heads that all started anew.
 
-use flaxgap_slow_start::{Pace, SlowStart, SlowStartSettings};
+use flaxgap_slow_start::{
+    AnswerSpeed, NodeCondition, SenderShare, SlowStart, SlowStartSettings, WaitingRequest,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -67,7 +69,7 @@
         if age.abs() < STEP / 2.0 {
             for view in &mut views {
                 *view = if fleet.knows { *view } else { SlowStart::new(COLD.warm_up_s, now) };
-                view.started(now);
+                view.record_node_start(now);
             }
         }
         let mut work = capacity() * warm(age) * STEP;
@@ -77,10 +79,10 @@
             if *units > 0.0 {
                 break;
             }
-            views[*head].answered(match now - *at {
-                quick if quick < QUICK => Pace::Quick,
-                slow if slow > SLOW => Pace::Slow,
-                _ => Pace::Fair,
+            views[*head].record_answer(match now - *at {
+                quick if quick < QUICK => AnswerSpeed::Fast,
+                slow if slow > SLOW => AnswerSpeed::Slow,
+                _ => AnswerSpeed::Normal,
             });
             queue.pop_front();
         }
@@ -88,20 +90,22 @@
         for head in 0..heads {
             if random.random_bool(asked / f64::from(fleet.heads) * STEP / MEAN_UNITS) {
                 let units = random.random_range(1..=3u32).into();
-                views[head].due(now, units);
+                views[head].record_due(now, units);
                 held[head].push_back((now, units, random.random()));
             }
             held[head].retain(|(at, _, _)| now - at < SLOW);
-            let Some((_, units, draw)) = held[head].front().copied() else { continue };
+            let Some((_, units, sample)) = held[head].front().copied() else { continue };
             let oldest = queue.iter().find(|(of, _, _)| *of == head).map_or(0.0, |(_, _, at)| now - at);
-            let of_fleet = (f64::from(fleet.heads), 1.0);
-            let rate = views[head].rate(&COLD, of_fleet, now, age.max(0.0), oldest > SLOW);
+            let sender = SenderShare { heads: f64::from(fleet.heads), process_share: 1.0 };
+            let node = NodeCondition { age_s: age.max(0.0), is_slow: oldest > SLOW };
+            let rate = views[head].allowed_rate(&COLD, sender, node, now);
+            let request = WaitingRequest { units, is_due: true, sample };
             let goes = age < 0.0
                 || !fleet.guarded
-                || rate.is_none_or(|rate| views[head].wait(&COLD, rate, now, (units, true), draw) <= 0.0);
+                || rate.is_none_or(|rate| views[head].wait_s(&COLD, rate, request, now) <= 0.0);
             if goes {
                 held[head].pop_front();
-                views[head].sent(units);
+                views[head].record_sent(units);
                 queue.push_back((head, units, now));
                 if age >= 0.0 {
                     sent.push_back((now, units));
--- a/src/scheduler/attempt_results.rs
+++ b/src/scheduler/attempt_results.rs
@@ -6,7 +6,7 @@
 use super::pending_requests::PendingRequests;
 use super::retry_rules;
 use super::settings::{Idempotency, SchedulerSettings};
-use flaxgap_attempts::{Attempt, End};
+use flaxgap_attempts::{Attempt, AttemptEnd};
 
 /// Multiples of a node's recent latency after which an attempt that was passed over is overdue.
 const OVERDUE_LATENCIES: f64 = 12.0;
@@ -17,21 +17,21 @@
         &mut self,
         id: RequestId,
         attempt_index: usize,
-        end: End,
+        end: AttemptEnd,
         actions: &mut Vec<Action>,
     ) {
         let Some(pending) = self.requests.get_mut(id) else { return };
-        let Some(attempt) = pending.attempts.end(attempt_index, end.outcome) else { return };
+        let Some(attempt) = pending.attempts.record_end(attempt_index, end.outcome) else { return };
         if let Some(extent) = pending.ordered_extent.filter(|_| end.outcome.may_still_run()) {
             self.extent_order.pause(extent, self.now + self.settings.ordering_pause_s);
         }
         self.record_node_result(id, &attempt, &end);
         let pending = &self.requests[id];
         let is_served = end.outcome == AttemptOutcome::Ok;
-        if end.done || is_served || pending.is_completed() {
+        if end.request_done || is_served || pending.is_completed() {
             self.record_delay(id, self.now - pending.arrived_at, is_served);
             self.complete(id);
-        } else if end.last {
+        } else if end.not_resendable {
             self.finish_unserved(id, actions);
         } else {
             self.retry(id, actions);
@@ -39,14 +39,14 @@
     }
 
     /// Records what the attempt's end shows of the fleet and of its node, unless another node serves the shard now.
-    fn record_node_result(&mut self, id: RequestId, attempt: &Attempt, end: &End) {
+    fn record_node_result(&mut self, id: RequestId, attempt: &Attempt, end: &AttemptEnd) {
         let pending = &self.requests[id];
         let is_answer = matches!(end.outcome, AttemptOutcome::Ok | AttemptOutcome::Error);
         if is_answer || end.outcome == AttemptOutcome::Timeout {
-            self.fleet_latency.record(end.elapsed, self.now);
+            self.fleet_latency.record(end.elapsed_s, self.now);
         }
         let Some(queue) = self.node_queues.get_mut(attempt.shard) else { return };
-        if queue.server.epoch != attempt.epoch {
+        if queue.serving_node.epoch != attempt.epoch {
             return;
         }
         queue.remove_in_flight(id);
@@ -59,8 +59,8 @@
             class: pending.request.class.0,
             units,
             unreserved_units: if pending.is_reserved { 0.0 } else { units },
-            sent_at: attempt.at,
-            elapsed_s: end.elapsed,
+            sent_at: attempt.sent_at,
+            elapsed_s: end.elapsed_s,
         };
         queue.record_answer(&answer, self.tightest_objective_s, self.now);
         if queue.has_passed_over() {
@@ -87,7 +87,7 @@
     pub(super) fn handle_streaming_started(&mut self, id: RequestId) {
         self.requests.stop_deadline(id);
         let Some(pending) = self.requests.get(id) else { return };
-        let Some(shard) = pending.attempts.out_at() else { return };
+        let Some(shard) = pending.attempts.in_flight_shard() else { return };
         if let Some(queue) = self.node_queues.get_mut(shard) {
             queue.remove_in_flight(id);
         }
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -31,7 +31,8 @@
         let Some(queue) = self.node_queues.get(pending.shard) else { return LONGEST_PAUSE_S };
         let pause_s = queue.backoff.ends_at() - self.now;
         let latency_s = queue.estimated_latency_s(self.now, self.fleet_latency);
-        let node_wait_s = if queue.server.node.is_some() { pause_s.max(latency_s) } else { LONGEST_PAUSE_S };
+        let node_wait_s =
+            if queue.serving_node.endpoint.is_some() { pause_s.max(latency_s) } else { LONGEST_PAUSE_S };
         let shedding_s = match self.load_shedding.admission(&pending.request, queue, self.now) {
             Admission::All | Admission::WithinQuota => 0.0,
             Admission::WithinReserve | Admission::TrialOnly => self.load_shedding.level().ends_at - self.now,
@@ -46,7 +47,7 @@
             return;
         }
         let Some(pending) = self.requests.get(id) else { return };
-        for (attempt, _) in pending.attempts.out() {
+        for attempt in pending.attempts.in_flight() {
             actions.push(Action::Cancel { request: id, attempt });
         }
     }
@@ -57,7 +58,7 @@
         self.requests.stop_deadline(id);
         let Some(pending) = self.requests.get_mut(id) else { return };
         pending.state = RequestState::Completed;
-        if pending.attempts.is_out() {
+        if pending.attempts.has_in_flight() {
             return;
         }
         if let Some(extent) = pending.ordered_extent {
@@ -75,7 +76,7 @@
         }
         let class = pending.request.class;
         self.class_weights.record_delay(class.0, delay_s);
-        let zone = self.node_queues.get(pending.shard).and_then(|queue| queue.server.zone());
+        let zone = self.node_queues.get(pending.shard).and_then(|queue| queue.serving_node.zone());
         let met_objective = is_served && self.now <= pending.objective_at;
         self.reserved_work.entry((zone, class)).or_default().record(met_objective, delay_s);
     }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -80,21 +80,21 @@
             self.retry_budget.record_retry(self.now);
         }
         let buckets = self.volume_quotas.refill(request.volume, request.plan, self.now);
-        if let Some(buckets) = buckets.filter(|_| !pending.attempts.taken()) {
+        if let Some(buckets) = buckets.filter(|_| !pending.attempts.was_received()) {
             buckets.charge(request.units, pending.is_retry());
         }
     }
 
     fn start_attempt(&mut self, shard: ShardId, id: RequestId, is_trial: bool, actions: &mut Vec<Action>) {
         let Some(queue) = self.node_queues.get(shard) else { return };
-        let Some(node) = &queue.server.node else { return };
+        let Some(node) = &queue.serving_node.endpoint else { return };
         let Some(pending) = self.requests.get_mut(id) else { return };
         pending.state = RequestState::Dispatched;
         pending.attempts.push(Attempt {
             shard,
             zone: node.zone,
-            epoch: queue.server.epoch,
-            at: self.now,
+            epoch: queue.serving_node.epoch,
+            sent_at: self.now,
             outcome: None,
         });
         // A trial only shows whether the node answers again; it need not take all of its client's time.
--- a/src/scheduler/evaluation.rs
+++ b/src/scheduler/evaluation.rs
@@ -90,7 +90,7 @@
     }
 
     fn may_send_by_retry_rules(&self, pending: &PendingRequest) -> bool {
-        let Some(node) = &self.queue.server.node else { return false };
+        let Some(node) = &self.queue.serving_node.endpoint else { return false };
         let idempotency = self.settings.classes[pending.request.class.0].idempotency;
         retry_rules::may_send(idempotency, &pending.attempts, node, self.now, self.settings.tick_s)
     }
@@ -175,7 +175,7 @@
 
     /// Whether the request fits its volume's rate limit. One that a node has received is not charged again.
     fn fits_volume_limit(&mut self, pending: &PendingRequest) -> bool {
-        if pending.attempts.taken() {
+        if pending.attempts.was_received() {
             return true;
         }
         let is_late = self.is_late(pending);
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -66,7 +66,7 @@
 
         let fits_in_time =
             is_in_time && now + self.volume_quotas.limit_wait_s(request, false, now) <= late_at;
-        let has_no_prospect = !pending.attempts.taken()
+        let has_no_prospect = !pending.attempts.was_received()
             && !fits_in_time
             && now + self.volume_quotas.limit_wait_s(request, true, now) > wait_ends_at;
         has_no_prospect || now + self.settings.tick_s >= window_ends_at
--- a/src/scheduler/load_shedding.rs
+++ b/src/scheduler/load_shedding.rs
@@ -52,7 +52,7 @@
     /// What the level admits of a request's kind at a node queue. Where only trials are admitted, one that the node
     /// has answered, and answers still, admits what is within quota again.
     pub(super) fn admission(&self, request: &IoRequest, queue: &NodeQueue, now: f64) -> Admission {
-        let admission = self.level.admission(request.class, request.plan, queue.server.zone());
+        let admission = self.level.admission(request.class, request.plan, queue.serving_node.zone());
         if admission == Admission::TrialOnly && self.has_recovered(queue, now) {
             return Admission::WithinQuota;
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -49,7 +49,7 @@
 use class_weights::ClassWeights;
 use endpoint_polling::EndpointPolling;
 use extent_order::ExtentOrder;
-use flaxgap_attempts::End;
+use flaxgap_attempts::AttemptEnd;
 use fleet_latency::FleetLatency;
 use load_shedding::LoadShedding;
 use node_queues::NodeQueues;
@@ -158,11 +158,11 @@
                 not_resendable,
                 ..
             } => {
-                let end = End {
+                let end = AttemptEnd {
                     outcome: *outcome,
-                    elapsed: *elapsed_s,
-                    done: *request_done,
-                    last: *not_resendable,
+                    elapsed_s: *elapsed_s,
+                    request_done: *request_done,
+                    not_resendable: *not_resendable,
                 };
                 self.handle_attempt_end(*request, *attempt, end, actions);
             }
--- a/src/scheduler/node_queue.rs
+++ b/src/scheduler/node_queue.rs
@@ -6,12 +6,12 @@
 use super::interface::{AttemptOutcome, RequestId};
 use super::node_backoff::NodeBackoff;
 use super::node_latency::NodeLatency;
-use flaxgap_shard_table::Server;
-use flaxgap_slow_start::{Pace, SlowStart};
+use flaxgap_shard_table::ServingNode;
+use flaxgap_slow_start::{AnswerSpeed, SlowStart};
 
 /// Later attempts that were answered before one that is taken for passed over.
 const PASSED_OVER_ANSWERS: u32 = 4;
-/// Fraction of the tightest latency objective up to which a node is quick, and past which it is under pressure.
+/// Fraction of the tightest latency objective up to which an answer is fast, and past which it is under pressure.
 pub(super) const PRESSURE_FRACTION: f64 = 0.35;
 
 /// An attempt that is in flight.
@@ -48,7 +48,7 @@
 
 /// The queued requests of a shard, by class, and the state of the node that serves it.
 pub(super) struct NodeQueue {
-    pub(super) server: Server,
+    pub(super) serving_node: ServingNode,
     pub(super) queued_by_class: Vec<Vec<RequestId>>,
     /// In the order in which they were sent.
     pub(super) in_flight: Vec<InFlight>,
@@ -62,11 +62,11 @@
 impl NodeQueue {
     /// The queue of a shard at its first use, as if made when the shard was first listed: until now this head had
     /// no work for it.
-    pub(super) fn new(classes: usize, warm_up_s: f64, server: Server) -> NodeQueue {
-        let mut slow_start = SlowStart::new(warm_up_s, server.shard_known);
-        slow_start.started(server.since);
+    pub(super) fn new(classes: usize, warm_up_s: f64, serving_node: ServingNode) -> NodeQueue {
+        let mut slow_start = SlowStart::new(warm_up_s, serving_node.shard_known_at);
+        slow_start.record_node_start(serving_node.changed_at);
         NodeQueue {
-            server,
+            serving_node,
             queued_by_class: vec![Vec::new(); classes],
             in_flight: Vec::new(),
             fair_queue: FairQueue::new(classes),
@@ -79,17 +79,17 @@
 
     /// Takes in which node serves the shard. The queued requests stay; a node that took over, or the same one after
     /// a restart, is learnt anew.
-    pub(super) fn set_server(&mut self, server: &Server) {
-        if server.epoch != self.server.epoch {
+    pub(super) fn set_serving_node(&mut self, serving_node: &ServingNode) {
+        if serving_node.epoch != self.serving_node.epoch {
             let classes = self.queued_by_class.len();
-            self.slow_start.started(server.since);
+            self.slow_start.record_node_start(serving_node.changed_at);
             self.in_flight = Vec::new();
             self.fair_queue = FairQueue::new(classes);
             self.window = ConcurrencyWindow::default();
             self.backoff = NodeBackoff::default();
             self.latency = NodeLatency::new(classes);
         }
-        self.server = server.clone();
+        self.serving_node = serving_node.clone();
     }
 
     /// Whether a request is queued.
@@ -110,7 +110,9 @@
     /// Whether one more request may go to the node. After a failure one at a time may, as a trial.
     pub(super) fn can_send(&self, now: f64) -> bool {
         let concurrency_limit = if self.backoff.is_failing() { 1 } else { self.window.limit() };
-        self.server.node.is_some() && self.in_flight.len() < concurrency_limit && self.backoff.is_over(now)
+        self.serving_node.endpoint.is_some()
+            && self.in_flight.len() < concurrency_limit
+            && self.backoff.is_over(now)
     }
 
     /// The node's latency as it is likely to be now. An attempt that has been in flight for longer counts: the node
@@ -127,7 +129,7 @@
 
     /// Records an attempt that was sent to the node.
     pub(super) fn record_sent(&mut self, request: RequestId, units: f64, now: f64) {
-        self.slow_start.sent(units);
+        self.slow_start.record_sent(units);
         self.in_flight.push(InFlight { sent_at: now, request, later_answers: 0 });
         self.window.record_sent(self.in_flight.len());
     }
@@ -145,8 +147,8 @@
                 attempt.later_answers += 1;
             }
         }
-        self.slow_start.due(now, answer.unreserved_units);
-        self.slow_start.answered(answer_pace(answer.elapsed_s / tightest_objective_s));
+        self.slow_start.record_due(now, answer.unreserved_units);
+        self.slow_start.record_answer(answer_speed(answer.elapsed_s / tightest_objective_s));
         self.latency.record(answer.class, answer.elapsed_s, now);
         self.window.record_answer(answer.elapsed_s, answer.units);
     }
@@ -157,7 +159,7 @@
             AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
                 self.backoff.record_failure(now);
                 self.window.halve();
-                self.slow_start.failed();
+                self.slow_start.record_failure();
             }
             AttemptOutcome::Timeout => self.window.halve(),
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
@@ -167,12 +169,12 @@
 }
 
 /// How an answer's latency, in multiples of the tightest objective, counts for slow start.
-fn answer_pace(latency_ratio: f64) -> Pace {
+fn answer_speed(latency_ratio: f64) -> AnswerSpeed {
     if latency_ratio < PRESSURE_FRACTION {
-        Pace::Quick
+        AnswerSpeed::Fast
     } else if latency_ratio > 1.0 {
-        Pace::Slow
+        AnswerSpeed::Slow
     } else {
-        Pace::Fair
+        AnswerSpeed::Normal
     }
 }
--- a/src/scheduler/pending_requests.rs
+++ b/src/scheduler/pending_requests.rs
@@ -122,7 +122,7 @@
         let end = Deadline::new(last_moment.max(0.0), RequestId(u32::MAX));
         let mut overdue = Vec::new();
         for deadline in self.deadlines.range(..=end) {
-            if deadline.at() <= now || !self[deadline.request].attempts.is_out() {
+            if deadline.at() <= now || !self[deadline.request].attempts.has_in_flight() {
                 overdue.push(deadline.request);
             }
         }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -40,7 +40,7 @@
 
     fn expected_wait_at(&self, shard: ShardId) -> f64 {
         let Some(shard) = self.node_queues.shard(shard) else { return f64::INFINITY };
-        match shard.lane() {
+        match shard.state() {
             Some(queue) => self.expected_wait(queue),
             None => self.expected_wait(&self.node_queues.unused_queue(shard)),
         }
@@ -52,7 +52,7 @@
         let work = 1.0 + queue.queued_count() as f64 / window + queue.in_flight.len() as f64 / window;
         let is_warming_up = self.slow_start.rate(queue, self.now, self.fleet_latency).is_some();
         let warming_up_factor = if is_warming_up { WARMING_UP_FACTOR } else { 1.0 };
-        let is_excluded = self.load_shedding.level().excludes_zone(queue.server.zone());
+        let is_excluded = self.load_shedding.level().excludes_zone(queue.serving_node.zone());
         let is_unavailable = queue.backoff.is_failing() || is_excluded;
         let unavailable_factor = if is_unavailable { UNAVAILABLE_FACTOR } else { 1.0 };
         let latency_s = queue.estimated_latency_s(self.now, self.fleet_latency).max(MIN_LATENCY_S);
--- a/src/scheduler/retry_rules.rs
+++ b/src/scheduler/retry_rules.rs
@@ -16,7 +16,7 @@
 /// When the time for another attempt ends: idempotency keys are remembered for a limited time.
 pub(super) fn retry_window_end(idempotency: Idempotency, attempts: &Attempts) -> f64 {
     let Idempotency::WithKey { window_s, .. } = idempotency else { return f64::INFINITY };
-    attempts.may_have_run().map(|attempt| attempt.at + window_s).fold(f64::INFINITY, f64::min)
+    attempts.may_have_run().map(|attempt| attempt.sent_at + window_s).fold(f64::INFINITY, f64::min)
 }
 
 /// Whether one more attempt is allowed at all, on whichever node.
@@ -33,7 +33,7 @@
     margin_s: f64,
 ) -> bool {
     let is_in_time = now + margin_s < retry_window_end(idempotency, attempts);
-    !attempts.is_out()
+    !attempts.has_in_flight()
         && is_in_time
         && attempts.may_have_run().all(|earlier| may_follow(idempotency, earlier, target))
 }
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -5,12 +5,12 @@
 use super::node_queue::NodeQueue;
 use super::pending_requests::PendingRequest;
 use super::settings::{SchedulerSettings, SlowStartSettings};
+use flaxgap_slow_start::{NodeCondition, SenderShare, WaitingRequest};
 
 /// The slow-start settings and this process's share of what a node may be sent.
 pub(super) struct SlowStartLimit {
     settings: SlowStartSettings,
-    heads: f64,
-    process_share: f64,
+    sender: SenderShare,
     tightest_objective_s: f64,
 }
 
@@ -19,29 +19,34 @@
     pub(super) fn new(settings: &SchedulerSettings, tightest_objective_s: f64) -> SlowStartLimit {
         SlowStartLimit {
             settings: settings.slow_start,
-            heads: f64::from(settings.heads),
-            process_share: 1.0,
+            sender: SenderShare { heads: f64::from(settings.heads), process_share: 1.0 },
             tightest_objective_s,
         }
     }
 
     /// Sets the fraction of the head's share that this process may send from now on.
     pub(super) fn set_process_share(&mut self, fraction: f64) {
-        self.process_share = fraction;
+        self.sender.process_share = fraction;
     }
 
     /// Units a second that this process may send a queue's node; `None` if the node has warmed up.
     pub(super) fn rate(&self, queue: &NodeQueue, now: f64, fleet: FleetLatency) -> Option<f64> {
         // A start at 0 stands for one long ago.
-        let node = queue.server.node.as_ref().filter(|node| node.started_at > 0.0)?;
-        let age_s = now - node.started_at;
-        let is_slow = queue.estimated_latency_s(now, fleet) > self.tightest_objective_s;
-        queue.slow_start.rate(&self.settings, (self.heads, self.process_share), now, age_s, is_slow)
+        let node = queue.serving_node.endpoint.as_ref().filter(|node| node.started_at > 0.0)?;
+        let condition = NodeCondition {
+            age_s: now - node.started_at,
+            is_slow: queue.estimated_latency_s(now, fleet) > self.tightest_objective_s,
+        };
+        queue.slow_start.allowed_rate(&self.settings, self.sender, condition, now)
     }
 
     /// Seconds until a request may go at this rate; 0 if it may now.
     pub(super) fn wait_s(&self, queue: &mut NodeQueue, rate: f64, pending: &PendingRequest, now: f64) -> f64 {
-        let size = (pending.request.units, pending.is_reserved);
-        queue.slow_start.wait(&self.settings, rate, now, size, pending.sample)
+        let request = WaitingRequest {
+            units: pending.request.units,
+            is_due: pending.is_reserved,
+            sample: pending.sample,
+        };
+        queue.slow_start.wait_s(&self.settings, rate, request, now)
     }
 }
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -9,7 +9,7 @@
     Idempotency, IoRequest, NodeId, NodeState, PlanId, RateLimit, RequestId, ReservedWorkStats,
     SchedulerSettings, SchedulerSettingsError, ShardId, SheddingLevel, UpdateKind, VolumeId, ZoneId,
 };
-use flaxgap_slow_start::{Pace, SlowStart};
+use flaxgap_slow_start::{AnswerSpeed, NodeCondition, SenderShare, SlowStart, WaitingRequest};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Length of a sampling tick, s; the paper's 5 s is slower than the surges are long.
@@ -215,7 +215,7 @@
         let key = |n: &Option<Endpoint>| n.as_ref().map(|n| (n.node, n.started_at));
         if key(&best) != key(&self.target) {
             let (queues, nodes) = (std::mem::take(&mut self.queues), std::mem::take(&mut self.nodes));
-            self.ramp.started(now);
+            self.ramp.record_node_start(now);
             *self = Lane { queues, nodes, epoch: self.epoch + 1, ..Lane::new(self.finish.len(), self.ramp) };
         }
         self.target = best;
@@ -258,7 +258,7 @@
         self.closed_until = now + (BACKOFF.0 * f64::from(1 << self.failures.min(6))).min(BACKOFF.1);
         self.failures += 1;
         self.window = (self.window / 2.0).max(WINDOW_MIN);
-        self.ramp.failed();
+        self.ramp.record_failure();
     }
 }
 
@@ -486,7 +486,7 @@
         self.enqueue(id);
         if reserved {
             let (shard, now) = (self.held[&id].lane, self.now);
-            self.lane(shard).ramp.due(now, units);
+            self.lane(shard).ramp.record_due(now, units);
         }
     }
 
@@ -741,11 +741,11 @@
                 AttemptOutcome::Ok | AttemptOutcome::Error => {
                     (lane.heard, lane.failures) = (now, 0);
                     lane.out.iter_mut().filter(|o| o.at < sent_at).for_each(|o| o.passed += 1);
-                    lane.ramp.due(now, undue);
-                    lane.ramp.answered(match elapsed / self.tightest {
-                        quick if quick < PRESSED => Pace::Quick,
-                        slow if slow > 1.0 => Pace::Slow,
-                        _ => Pace::Fair,
+                    lane.ramp.record_due(now, undue);
+                    lane.ramp.record_answer(match elapsed / self.tightest {
+                        quick if quick < PRESSED => AnswerSpeed::Fast,
+                        slow if slow > 1.0 => AnswerSpeed::Slow,
+                        _ => AnswerSpeed::Normal,
                     });
                     lane.latency[class] += BLEND * (elapsed - lane.latency[class]);
                     lane.learn(elapsed, units);
@@ -790,7 +790,9 @@
     fn cold_rate(&self, lane: &Lane) -> Option<f64> {
         let age = self.now - lane.target.as_ref().filter(|t| t.started_at > 0.0)?.started_at;
         let slow = lane.latency_now(self.now, self.weather) > self.tightest;
-        lane.ramp.rate(&self.set.slow_start, (f64::from(self.set.heads), self.part.0), self.now, age, slow)
+        let sender = SenderShare { heads: f64::from(self.set.heads), process_share: self.part.0 };
+        let node = NodeCondition { age_s: age, is_slow: slow };
+        lane.ramp.allowed_rate(&self.set.slow_start, sender, node, self.now)
     }
 
     /// Calls off an attempt that is overdue for its size while its node answered later ones: its connection
@@ -872,8 +874,8 @@
             }
         }
         if let Some(rate) = self.cold_rate(lane) {
-            let (draw, size) = (held.draw, (units, held.reserved));
-            let wait = self.lanes.get_mut(&shard)?.ramp.wait(&self.set.slow_start, rate, now, size, draw);
+            let request = WaitingRequest { units, is_due: held.reserved, sample: held.draw };
+            let wait = self.lanes.get_mut(&shard)?.ramp.wait_s(&self.set.slow_start, rate, request, now);
             if wait > 0.0 {
                 self.blocked_until = self.blocked_until.min(now + wait.max(tick));
                 return None;
@@ -938,7 +940,7 @@
             *tag = start + units / plan_weight;
             lane.volume_time = start;
         }
-        lane.ramp.sent(units);
+        lane.ramp.record_sent(units);
         lane.out.push(Out { at: now, id, passed: 0 });
         lane.was_full |= lane.out.len() >= lane.window as usize;
         let (first, taken) = (held.attempts.is_empty(), held.taken());
