--- a/src/daemon/build.rs
+++ b/src/daemon/build.rs
@@ -13,7 +13,7 @@
 use crate::frontend::block::BlockFrontend;
 use crate::frontend::block::config::Target;
 use crate::frontend::request::FrontendContext;
-use crate::handover::{Handover, Shared};
+use crate::handover::{Handover, SharedParts};
 use crate::lifecycle::Lifecycle;
 use crate::metrics::counters::Counters;
 use crate::metrics::export;
@@ -146,14 +146,14 @@
             scheduler: settings.clone(),
             level_file: LevelFile::new(state_folder, &config.name),
         });
-        let shared = Shared {
+        let shared = SharedParts {
             dispatcher: dispatcher.clone(),
-            budget: descriptors.clone(),
+            descriptors: descriptors.clone(),
             memory: memory.clone(),
-            phases: lifecycle.clone(),
-            bans: exclusions,
+            lifecycle: lifecycle.clone(),
+            exclusions,
             directory: directory.clone(),
-            levels: shedding.clone(),
+            shedding: shedding.clone(),
         };
         let handover = Handover::new(state_folder, &config.name, shared);
         Ok(Parts {
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -55,7 +55,7 @@
     parts.lifecycle.close_idle();
     accept_what_is_queued(parts, &server, schedule.end).await;
     drop(server);
-    parts.handover.close();
+    parts.handover.close_sockets();
     if timeout_at(schedule.end, parts.lifecycle.all_closed()).await.is_err() {
         log::warn!("daemon: connections still open at the end");
     }
@@ -73,14 +73,14 @@
         () = sleep_until(schedule.close_connections_at) => {}
         () = all_closed => {}
         // Clients find the newer process at once.
-        () = parts.handover.yielded() => {}
+        () = parts.handover.wait_for_newer_in_service() => {}
     }
 }
 
 /// Accepts what the system has queued, since that counts as taken; a newer process, if there is one, does it in
 /// this one's place.
 async fn accept_what_is_queued(parts: &Parts, server: &Server, end: Instant) {
-    while !parts.handover.has_yielded() {
+    while !parts.handover.newer_in_service() {
         // Idle connections are closing, so a slot will be free; what is queued until then is not reset.
         let Ok(slot) = timeout_at(end, parts.descriptors.client_slot()).await else { break };
         match accept_queued(&server.listener) {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -88,11 +88,11 @@
             parts.start_admin_server(address)?;
         }
 
-        let received_sockets = parts.handover.succeed().await;
+        let received_sockets = parts.handover.take_over().await;
         // Until this process is ready, an older one accepts.
         parts.lifecycle.accept(received_sockets.is_empty());
         parts.shedding.configure(shedding);
-        let address_use = AddressUse::of_head(parts.handover.possible());
+        let address_use = AddressUse::of_head(parts.handover.is_possible());
         let listeners = Listeners::open(&addresses, received_sockets, address_use)?;
         let sockets = listeners.all();
         parts.start_block_frontend(listeners.block, block_target, config.seed);
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -180,7 +180,7 @@
         };
         match self.directory.ban(&node_name, action == NodeAction::Exclude) {
             Ok(true) => {
-                self.handover.bans_changed();
+                self.handover.notify_exclusions_changed();
                 text(StatusCode::OK, format!("{node_name} {}\n", action.outcome()))
             }
             Ok(false) => text(StatusCode::NOT_FOUND, "never listed\n"),
@@ -202,7 +202,7 @@
             None => shedding_is_off(),
             Some(Err(error)) => bad_request(&error),
             Some(Ok(transition)) => {
-                self.handover.pins_changed();
+                self.handover.notify_overrides_changed();
                 text(StatusCode::OK, format!("{transition}\n"))
             }
         }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,10 +1,16 @@
 //! Upgrades: a new process of this head takes over from the old one while both serve as one.
 //!
-//! The old process listens on a private socket in the folder that both share. The new one finds it there and
-//! gets the listening sockets passed on: one queue serves both, so no close resets what waits in it. Until the
-//! new one says that it is ready, the old one accepts; from then on the new one does, and the old one ends what
-//! it took. While both live, each has half of what is the head's: limits, cold nodes, descriptors, memory. The
-//! link's end is the other's end.
+//! The old process listens on a private socket in the folder that both share. The new one connects to it and
+//! receives the listening sockets: one queue of connections serves both, so no close resets what is queued.
+//! Until the new one says that it is ready, the old one accepts; from then on the new one does, and the old one
+//! ends what it took. While both live, each has half of the head's limits, capacity of nodes in slow start,
+//! descriptors and memory. The connection's end is the other process's end.
+
+mod message;
+mod peer;
+mod socket_passing;
+mod socket_path;
+mod state;
 
 use crate::core::Dispatcher;
 use crate::discovery::EndpointDirectory;
@@ -14,315 +20,228 @@
 use crate::resources::memory::BodyMemory;
 use crate::scheduler::Event;
 use crate::shedding::controller::SheddingController;
-use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags, recvmsg, sendmsg,
-};
+use message::{Message, MessageDecoder};
+use peer::PeerConnection;
+use socket_passing::{receive_sockets, send_sockets};
+use state::{NewerProcess, OtherProcesses};
 use std::cell::RefCell;
-use std::fs::File;
-use std::io::{self, IoSlice, IoSliceMut};
-use std::mem::MaybeUninit;
-use std::os::fd::{AsFd, AsRawFd, OwnedFd};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::Interest;
 use tokio::net::{TcpListener, UnixListener, UnixStream};
 use tokio::sync::watch;
-use tokio::time::timeout;
+use tokio::task::spawn_local;
+use tokio::time::{error::Elapsed, sleep, timeout};
 
-/// How long the old process has to pass its sockets on; one that does not is taken for mute.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Longest path that a private socket is reached by; beyond it, its folder's descriptor stands for the folder.
-const LONGEST_PATH: usize = 100;
-/// Most sockets that are passed on: one for each front that clients use.
-const MOST_SOCKETS: usize = 3;
-/// What the processes tell each other.
-const HERE: &[u8] = b"here\n";
-const READY: &[u8] = b"ready\n";
-const BANS: &[u8] = b"bans\n";
-const PINS: &[u8] = b"pins\n";
-const LONGEST_WORD: usize = 64;
+/// How long the passing of sockets may take; a peer that needs longer hangs.
+const PASSING_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after the system failed to accept a newer process.
+const ACCEPT_PAUSE: Duration = Duration::from_secs(2);
 
-/// Which processes of this head live beside this one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
-    /// One that was started before.
-    pub older: bool,
-    /// One that was started after.
-    pub newer: bool,
-    /// That one accepts connections now.
-    pub yielded: bool,
-}
-
-impl Standing {
-    /// This process's part of what is the head's.
-    fn part(self) -> f64 {
-        1.0 / f64::from(1 + u8::from(self.older) + u8::from(self.newer))
-    }
-}
-
-/// What the two processes share, as one of them holds it.
-pub struct Shared {
-    /// The core, for the limits and cold nodes.
+/// The parts of this process whose state depends on the head's other processes.
+pub struct SharedParts {
+    /// The scheduler, for limits and nodes in slow start.
     pub dispatcher: Rc<Dispatcher>,
-    /// The descriptors.
-    pub budget: Rc<DescriptorBudget>,
+    /// The budget of descriptors.
+    pub descriptors: Rc<DescriptorBudget>,
     /// The memory for bodies.
     pub memory: Rc<BodyMemory>,
-    /// Who accepts.
-    pub phases: Rc<Lifecycle>,
-    /// The bans.
-    pub bans: Rc<Exclusions>,
-    /// The list that they apply to.
+    /// Whether this process accepts connections.
+    pub lifecycle: Rc<Lifecycle>,
+    /// The nodes that operators exclude.
+    pub exclusions: Rc<Exclusions>,
+    /// The endpoint list, to which exclusions apply.
     pub directory: Rc<EndpointDirectory>,
-    /// The levels of reduced service, for their pins.
-    pub levels: Rc<SheddingController>,
+    /// Load shedding, whose levels operators can override.
+    pub shedding: Rc<SheddingController>,
 }
 
-/// The link to the other processes of this head.
+/// The connections to the other processes of this head, and which of them accepts.
 pub struct Handover {
-    path: Option<PathBuf>,
-    shared: Shared,
-    standing: watch::Sender<Standing>,
-    links: RefCell<Vec<Rc<UnixStream>>>,
+    socket_path: Option<PathBuf>,
+    shared: SharedParts,
+    others: watch::Sender<OtherProcesses>,
+    peers: RefCell<Vec<Rc<PeerConnection>>>,
     sockets: RefCell<Vec<Rc<TcpListener>>>,
 }
 
 impl Handover {
-    /// No link yet. Without a folder there will be none.
-    pub fn new(folder: Option<&Path>, name: &str, shared: Shared) -> Rc<Handover> {
-        let path = folder.map(|folder| folder.join(format!("flaxgap-{name}.sock")));
-        let (standing, links, sockets) = Default::default();
-        Rc::new(Handover { path, shared, standing, links, sockets })
+    /// A process that knows of no other yet. Without a folder that it shares with others there will be none.
+    pub fn new(state_folder: Option<&Path>, name: &str, shared: SharedParts) -> Rc<Handover> {
+        Rc::new(Handover {
+            socket_path: state_folder.map(|folder| folder.join(format!("flaxgap-{name}.sock"))),
+            shared,
+            others: watch::Sender::default(),
+            peers: RefCell::default(),
+            sockets: RefCell::default(),
+        })
     }
 
-    /// Whether an address may be shared with another process of this head.
-    pub fn possible(&self) -> bool {
-        self.path.is_some()
+    /// Whether another process of this head can take over, and may share its addresses.
+    pub fn is_possible(&self) -> bool {
+        self.socket_path.is_some()
     }
 
-    /// Looks for an older process: its listening sockets, in the fronts' order; none where there is no such
-    /// process or it is mute. A mute one keeps its half until it ends.
-    pub async fn succeed(self: &Rc<Self>) -> Vec<std::net::TcpListener> {
-        let Some(path) = &self.path else { return Vec::new() };
-        let connecting = async {
-            let (short, _folder) = reach(path)?;
-            UnixStream::connect(short).await
-        };
-        let stream = match connecting.await {
-            Ok(stream) => Rc::new(stream),
+    /// Connects to an older process and receives its listening sockets, in the frontends' order; none where
+    /// there is no such process or it does not respond in time. One that does not respond keeps its share until
+    /// it ends.
+    pub async fn take_over(self: &Rc<Self>) -> Vec<std::net::TcpListener> {
+        let Some(path) = &self.socket_path else { return Vec::new() };
+        let stream = match socket_path::connect(path).await {
+            Ok(stream) => stream,
             Err(problem) => {
                 log::debug!("handover: no older process: {problem}");
                 return Vec::new();
             }
         };
-        self.change(|standing| standing.older = true);
-        let sockets = match timeout(PATIENCE, inherit(&stream)).await {
+        let older = Rc::new(PeerConnection { stream });
+        self.update(|others| others.older = true);
+        let sockets = match timeout(PASSING_TIMEOUT, receive_sockets(&older.stream)).await {
             Ok(Ok(sockets)) => sockets,
             Ok(Err(problem)) => {
                 log::warn!("handover: the older process: {problem}");
-                self.change(|standing| standing.older = false);
+                self.update(|others| others.older = false);
                 return Vec::new();
             }
-            Err(_) => {
+            Err(Elapsed { .. }) => {
                 log::warn!("handover: the older process is mute");
                 Vec::new()
             }
         };
         log::info!("handover: {} sockets of an older process", sockets.len());
-        let this = self.clone();
-        tokio::task::spawn_local(async move {
-            this.heed(stream).await;
-            log::info!("handover: the older process has ended");
-            this.change(|standing| standing.older = false);
-        });
+        spawn_local(self.clone().follow_older_process(older));
         sockets
     }
 
-    /// This process can serve: it accepts from now on, and waits for one that will take over from it.
+    async fn follow_older_process(self: Rc<Self>, older: Rc<PeerConnection>) {
+        self.handle_messages(older).await;
+        log::info!("handover: the older process has ended");
+        self.update(|others| others.older = false);
+    }
+
+    /// Records that this process can serve: it accepts from now on, and listens for a process that will take
+    /// over from it and its `sockets`.
     pub fn serve(self: &Rc<Self>, sockets: Vec<Rc<TcpListener>>) {
         self.sockets.replace(sockets);
-        self.shared.phases.accept(true);
-        self.tell(READY);
-        let Some(path) = &self.path else { return };
-        match listen(path) {
-            Ok(listener) => _ = tokio::task::spawn_local(self.clone().attend(listener)),
+        self.shared.lifecycle.accept(true);
+        self.send_to_peers(Message::Ready);
+        let Some(path) = &self.socket_path else { return };
+        match socket_path::listen(path) {
+            Ok(listener) => _ = spawn_local(self.clone().accept_newer_processes(listener)),
             Err(problem) => log::error!("handover: {}: {problem}; no upgrade can follow", path.display()),
         }
     }
 
-    /// Lets go of the listening sockets: where no newer process has them, connections are refused from now on.
-    pub fn close(&self) {
+    /// Closes the listening sockets: unless a newer process has them, connections are refused from now on.
+    pub fn close_sockets(&self) {
         self.sockets.borrow_mut().clear();
     }
 
-    /// Has the other processes read the bans again.
-    pub fn bans_changed(&self) {
-        self.tell(BANS);
+    /// Has the other processes read the exclusions again.
+    pub fn notify_exclusions_changed(&self) {
+        self.send_to_peers(Message::ExclusionsChanged);
     }
 
-    /// Has the other processes read again which levels operators hold.
-    pub fn pins_changed(&self) {
-        self.tell(PINS);
+    /// Has the other processes read the overrides of shedding levels again.
+    pub fn notify_overrides_changed(&self) {
+        self.send_to_peers(Message::OverridesChanged);
     }
 
-    /// Waits until a newer process accepts in this one's place.
-    pub async fn yielded(&self) {
+    /// Waits until a newer process accepts in place of this one.
+    pub async fn wait_for_newer_in_service(&self) {
         // The sender lives in `self`, so the wait can't fail.
-        let _ = self.standing.subscribe().wait_for(|standing| standing.yielded).await;
+        let _ = self.others.subscribe().wait_for(|others| others.newer_in_service()).await;
     }
 
-    /// Whether a newer process accepts in this one's place.
-    pub fn has_yielded(&self) -> bool {
-        self.standing.borrow().yielded
+    /// Whether a newer process accepts in place of this one.
+    pub fn newer_in_service(&self) -> bool {
+        self.others.borrow().newer_in_service()
     }
 
-    fn change(&self, change: impl FnOnce(&mut Standing)) {
-        let before = *self.standing.borrow();
-        self.standing.send_modify(change);
-        let after = *self.standing.borrow();
-        if before.part() != after.part() {
-            log::info!("handover: this process has {} of the head's share", after.part());
-            self.shared.dispatcher.notify(&[Event::ProcessShareChanged { fraction: after.part() }]);
-            self.shared.budget.set_part(after.part());
-            self.shared.memory.set_part(after.part());
+    /// Changes what is known of the other processes, and applies what follows from it.
+    fn update(&self, change: impl FnOnce(&mut OtherProcesses)) {
+        let before = *self.others.borrow();
+        self.others.send_modify(change);
+        let after = *self.others.borrow();
+        if before.share() != after.share() {
+            self.apply_share(after.share());
         }
-        if before.yielded != after.yielded {
-            let accepting = if after.yielded {
-                "is in service, this one accepts no more"
-            } else {
-                "is gone, this one accepts again"
-            };
-            log::info!("handover: the newer process {accepting}");
-            self.shared.phases.accept(!after.yielded);
+        if before.newer_in_service() != after.newer_in_service() {
+            self.apply_accepting(!after.newer_in_service());
         }
     }
 
-    /// The words are short and few: a link whose buffer they fill is mute.
-    fn tell(&self, word: &[u8]) {
-        for link in self.links.borrow().iter() {
-            if let Err(problem) = link.try_write(word) {
-                log::warn!("handover: {problem}");
-            }
+    fn apply_share(&self, share: f64) {
+        log::info!("handover: this process has {share} of the head's share");
+        self.shared.dispatcher.notify(&[Event::ProcessShareChanged { fraction: share }]);
+        self.shared.descriptors.set_part(share);
+        self.shared.memory.set_part(share);
+    }
+
+    fn apply_accepting(&self, accepting: bool) {
+        if accepting {
+            log::info!("handover: the newer process is gone, this one accepts again");
+        } else {
+            log::info!("handover: the newer process is in service, this one accepts no more");
         }
+        self.shared.lifecycle.accept(accepting);
     }
 
-    /// Waits for newer processes, one after the other.
-    async fn attend(self: Rc<Self>, listener: UnixListener) {
+    fn send_to_peers(&self, message: Message) {
+        for peer in self.peers.borrow().iter() {
+            peer.send(message);
+        }
+    }
+
+    /// Accepts newer processes, one after the other.
+    async fn accept_newer_processes(self: Rc<Self>, listener: UnixListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => {
-                    let stream = Rc::new(stream);
-                    self.change(|standing| standing.newer = true);
-                    let sockets = self.sockets.borrow().clone();
-                    match timeout(PATIENCE, bequeath(&stream, &sockets)).await {
-                        Ok(Ok(())) => self.heed(stream).await,
-                        Ok(Err(problem)) => log::warn!("handover: the newer process: {problem}"),
-                        Err(_) => log::warn!("handover: the newer process is mute"),
-                    }
-                    log::info!("handover: the newer process has ended");
-                    self.change(|standing| (standing.newer, standing.yielded) = (false, false));
-                }
+                Ok((stream, _)) => self.serve_newer_process(stream).await,
                 Err(problem) => {
                     log::warn!("handover: accept: {problem}");
-                    tokio::time::sleep(PATIENCE).await;
+                    sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Follows what the other process says until it ends.
-    async fn heed(&self, stream: Rc<UnixStream>) {
-        self.links.borrow_mut().push(stream.clone());
-        let (mut text, mut piece) = (Vec::new(), [0; LONGEST_WORD]);
-        while text.len() < LONGEST_WORD && stream.readable().await.is_ok() {
-            match stream.try_read(&mut piece) {
-                Ok(0) => break,
-                Ok(some) => text.extend_from_slice(&piece[..some]),
-                Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => continue,
-                Err(_) => break,
-            }
-            while let Some(end) = text.iter().position(|byte| *byte == b'\n') {
-                let word: Vec<u8> = text.drain(..=end).collect();
-                match &word[..] {
-                    READY => self.change(|standing| standing.yielded = standing.newer),
-                    BANS => {
-                        self.shared.bans.reload();
-                        self.shared.directory.bans_changed();
-                    }
-                    PINS => self.shared.levels.reload_overrides(),
-                    _ => log::debug!("handover: a word without a meaning"),
-                }
+    /// Passes the sockets to a newer process and follows it until it ends.
+    async fn serve_newer_process(&self, stream: UnixStream) {
+        let newer = Rc::new(PeerConnection { stream });
+        self.update(|others| others.newer = NewerProcess::Starting);
+        let sockets = self.sockets.borrow().clone();
+        match timeout(PASSING_TIMEOUT, send_sockets(&newer.stream, &sockets)).await {
+            Ok(Ok(())) => self.handle_messages(newer).await,
+            Ok(Err(problem)) => log::warn!("handover: the newer process: {problem}"),
+            Err(Elapsed { .. }) => log::warn!("handover: the newer process is mute"),
+        }
+        log::info!("handover: the newer process has ended");
+        self.update(|others| others.newer = NewerProcess::Absent);
+    }
+
+    /// Handles the peer's messages until it ends.
+    async fn handle_messages(&self, peer: Rc<PeerConnection>) {
+        self.peers.borrow_mut().push(peer.clone());
+        let mut decoder = MessageDecoder::default();
+        while let Some(message) = peer.receive(&mut decoder).await {
+            match message {
+                Ok(message) => self.handle_message(message),
+                Err(problem) => log::debug!("handover: {problem}"),
             }
         }
-        self.links.borrow_mut().retain(|link| !Rc::ptr_eq(link, &stream));
+        self.peers.borrow_mut().retain(|other| !Rc::ptr_eq(other, &peer));
     }
-}
 
-/// A path as a socket's address can hold it, valid for as long as the folder is held open.
-fn reach(path: &Path) -> io::Result<(PathBuf, Option<File>)> {
-    match (path.parent(), path.file_name()) {
-        (Some(folder), Some(name)) if path.as_os_str().len() > LONGEST_PATH => {
-            let folder = File::open(folder)?;
-            let short = Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(name);
-            Ok((short, Some(folder)))
+    fn handle_message(&self, message: Message) {
+        match message {
+            Message::Sockets => log::debug!("handover: a greeting after the first, ignored"),
+            Message::Ready => self.update(OtherProcesses::peer_is_ready),
+            Message::ExclusionsChanged => {
+                self.shared.exclusions.reload();
+                self.shared.directory.bans_changed();
+            }
+            Message::OverridesChanged => self.shared.shedding.reload_overrides(),
         }
-        _ => Ok((path.into(), None)),
-    }
-}
-
-/// Listens at the path in place of the process that did before.
-fn listen(path: &Path) -> io::Result<UnixListener> {
-    let draft = path.with_extension("new");
-    if let Err(problem) = std::fs::remove_file(&draft) {
-        log::debug!("handover: {problem}");
     }
-    let (short, _folder) = reach(&draft)?;
-    let listener = UnixListener::bind(short)?;
-    std::fs::rename(&draft, path)?;
-    Ok(listener)
-}
-
-/// Passes listening sockets on.
-async fn bequeath(stream: &UnixStream, sockets: &[Rc<TcpListener>]) -> io::Result<()> {
-    let sockets: Vec<_> = sockets.iter().map(|socket| socket.as_fd()).collect();
-    stream
-        .async_io(Interest::WRITABLE, || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
-            let mut control = SendAncillaryBuffer::new(&mut space);
-            control.push(SendAncillaryMessage::ScmRights(&sockets));
-            sendmsg(stream, &[IoSlice::new(HERE)], &mut control, SendFlags::NOSIGNAL)?;
-            Ok(())
-        })
-        .await
-}
-
-/// Takes listening sockets over.
-async fn inherit(stream: &UnixStream) -> io::Result<Vec<std::net::TcpListener>> {
-    let sockets: Vec<OwnedFd> = stream
-        .async_io(Interest::READABLE, || {
-            let mut word = [0; HERE.len()];
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
-            let mut control = RecvAncillaryBuffer::new(&mut space);
-            let got =
-                recvmsg(stream, &mut [IoSliceMut::new(&mut word)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
-            if got.bytes == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
-            }
-            let rights = control.drain().filter_map(|message| match message {
-                RecvAncillaryMessage::ScmRights(sockets) => Some(sockets),
-                _ => None,
-            });
-            Ok(rights.flatten().collect())
-        })
-        .await?;
-    sockets
-        .into_iter()
-        .map(|socket| {
-            let socket = std::net::TcpListener::from(socket);
-            socket.set_nonblocking(true)?;
-            Ok(socket)
-        })
-        .collect()
 }
