--- a/src/config/operators_file.rs
+++ b/src/config/operators_file.rs
@@ -1,5 +1,5 @@
-//! The operators' file: where figures go, which script watches, the levels of reduced service, and the relays
-//! that the head follows. Everything in it is off by default.
+//! The operators' file: where counters are exported, which plug-in observes, load shedding, the frontend for
+//! HTTP/2, and the relays that the head follows. Everything in it is off by default.
 
 use crate::config::WireSettings;
 use crate::discovery::relays::settings::{DistributionError, DistributionFile, DistributionSettings};
@@ -17,19 +17,27 @@
 pub enum OperatorsFileError {
     /// The file can't be read.
     #[error("{0}: {1}")]
-    Unreadable(String, std::io::Error),
+    Unreadable(String, #[source] std::io::Error),
     /// It is no TOML of the form expected.
     #[error("operations file {0}: {1}")]
-    Malformed(String, toml::de::Error),
-    /// Its levels contradict themselves.
+    Malformed(String, #[source] toml::de::Error),
+    /// Its settings of load shedding contradict themselves.
     #[error("operations file {0}: {1}")]
-    Levels(String, SheddingSettingsError),
-    /// Its front of HTTP/2 can't be.
+    Levels(String, #[source] SheddingSettingsError),
+    /// Its frontend for HTTP/2 can't be served.
     #[error("operations file {0}: {1}")]
-    Http2(String, Http2Error),
+    Http2(String, #[source] Http2Error),
     /// The relays that it names can't be followed.
     #[error("operations file {0}: {1}")]
-    Distribution(String, DistributionError),
+    Distribution(String, #[source] DistributionError),
+}
+
+/// The file that a value was read from.
+#[derive(Clone, Debug)]
+struct SourceFile {
+    path: String,
+    /// The whole text, in which errors show the line.
+    text: String,
 }
 
 /// What the file may hold.
@@ -40,68 +48,90 @@
     pub graphite: Option<Graphite>,
     /// Counters to collectd.
     pub collectd: Option<Collectd>,
-    /// A script that observes.
+    /// A plug-in that observes requests.
     pub plugin: Option<PluginConfig>,
-    /// Levels of reduced service.
+    /// Load shedding.
     levels: Option<LevelsFile>,
-    /// The front of HTTP/2.
+    /// The frontend for HTTP/2.
     http2: Option<Http2File>,
     /// The relays to follow in place of discovery.
     distribution: Option<DistributionFile>,
-    /// Where the file is, and its text.
+    /// The file; none where there is none, and then nothing is on.
     #[serde(skip)]
-    source: (String, String),
+    source: Option<SourceFile>,
 }
 
 impl OperatorsFile {
-    /// Reads the file.
+    /// Reads the file at a path.
+    ///
+    /// # Errors
+    ///
+    /// [`OperatorsFileError`] if the file can't be read or is not of the form expected.
     pub fn load(path: &str) -> Result<OperatorsFile, OperatorsFileError> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| OperatorsFileError::Unreadable(path.into(), e))?;
-        let mut ops: OperatorsFile =
-            toml::from_str(&text).map_err(|e| OperatorsFileError::Malformed(path.into(), e))?;
-        ops.source = (path.into(), text);
-        Ok(ops)
+        let text = std::fs::read_to_string(path)
+            .map_err(|problem| OperatorsFileError::Unreadable(path.into(), problem))?;
+        let file: OperatorsFile =
+            toml::from_str(&text).map_err(|problem| OperatorsFileError::Malformed(path.into(), problem))?;
+        let source = SourceFile { path: path.into(), text };
+        Ok(OperatorsFile { source: Some(source), ..file })
     }
 
     /// Where the file is; none where there is no file.
     pub fn path(&self) -> Option<&str> {
-        Some(self.source.0.as_str()).filter(|path| !path.is_empty())
+        self.source.as_ref().map(|source| source.path.as_str())
     }
 
-    /// The levels that it settles, checked against the classes, plans and zones of the installation; none where
-    /// they are off.
-    pub fn levels(&self, notes: &WireSettings) -> Result<Option<SheddingSettings>, OperatorsFileError> {
-        let (path, text) = &self.source;
-        let Some(file) = &self.levels else { return Ok(None) };
+    /// The settings of load shedding, checked against the classes, plans and zones of the installation; none
+    /// where it is off.
+    ///
+    /// # Errors
+    ///
+    /// [`OperatorsFileError::Levels`] with the line that can't be served.
+    pub fn shedding(
+        &self,
+        wire_settings: &WireSettings,
+    ) -> Result<Option<SheddingSettings>, OperatorsFileError> {
+        let (Some(source), Some(file)) = (&self.source, &self.levels) else { return Ok(None) };
         let names = Names {
-            classes: notes.class_names.clone(),
-            plans: notes.plan_names.clone(),
-            zones: notes.zone_names.clone(),
+            classes: wire_settings.class_names.clone(),
+            plans: wire_settings.plan_names.clone(),
+            zones: wire_settings.zone_names.clone(),
         };
-        let settings = SheddingSettings::check(file, text, &names, &notes.class_writes);
-        settings.map(Some).map_err(|problem| OperatorsFileError::Levels(path.clone(), problem))
+        let settings = SheddingSettings::check(file, &source.text, &names, &wire_settings.class_writes)
+            .map_err(|problem| OperatorsFileError::Levels(source.path.clone(), problem))?;
+        Ok(Some(settings))
     }
 
-    /// The front of HTTP/2 that it settles; none where it is off.
+    /// The settings of the frontend for HTTP/2; none where it is off.
+    ///
+    /// # Errors
+    ///
+    /// [`OperatorsFileError::Http2`] with the line that can't be served.
     pub fn http2(&self) -> Result<Option<Http2>, OperatorsFileError> {
-        let (path, text) = &self.source;
-        let settings = self.http2.as_ref().map(|file| Http2::check(file, text)).transpose();
-        settings.map_err(|problem| OperatorsFileError::Http2(path.clone(), problem))
+        let (Some(source), Some(file)) = (&self.source, &self.http2) else { return Ok(None) };
+        let settings = Http2::check(file, &source.text)
+            .map_err(|problem| OperatorsFileError::Http2(source.path.clone(), problem))?;
+        Ok(Some(settings))
     }
 
-    /// The relays that it has the head follow; none where the head follows discovery itself.
+    /// The relays to follow; none where the head follows discovery itself.
+    ///
+    /// # Errors
+    ///
+    /// [`OperatorsFileError::Distribution`] with the line that can't be served.
     pub fn distribution(&self) -> Result<Option<DistributionSettings>, OperatorsFileError> {
-        let (path, text) = &self.source;
-        let settings =
-            self.distribution.as_ref().map(|file| DistributionSettings::check(file, text)).transpose();
-        settings.map_err(|problem| OperatorsFileError::Distribution(path.clone(), problem))
+        let (Some(source), Some(file)) = (&self.source, &self.distribution) else { return Ok(None) };
+        let settings = DistributionSettings::check(file, &source.text)
+            .map_err(|problem| OperatorsFileError::Distribution(source.path.clone(), problem))?;
+        Ok(Some(settings))
     }
 
-    /// Whether anything but the levels differs.
-    pub fn restarts(&self, other: &OperatorsFile) -> bool {
-        (&self.graphite, &self.collectd, &self.plugin) != (&other.graphite, &other.collectd, &other.plugin)
-            || self.http2().ok() != other.http2().ok()
-            || self.distribution().ok() != other.distribution().ok()
+    /// Whether the change from `running` to this file takes a restart: anything but load shedding differs.
+    pub fn takes_restart(&self, running: &OperatorsFile) -> bool {
+        self.graphite != running.graphite
+            || self.collectd != running.collectd
+            || self.plugin != running.plugin
+            || self.http2().ok() != running.http2().ok()
+            || self.distribution().ok() != running.distribution().ok()
     }
 }
--- a/src/daemon/build.rs
+++ b/src/daemon/build.rs
@@ -53,11 +53,12 @@
         block_file: Option<String>,
         config: &Config,
     ) -> Result<OptionalSettings, DaemonError> {
-        let shedding = operators_file.levels(&config.notes)?;
+        let shedding = operators_file.shedding(&config.wire_settings)?;
         let http2 = operators_file.http2()?;
         let distribution = operators_file.distribution()?;
-        let block_target =
-            block_file.map(|path| Target::load(&path, &config.settings, &config.notes)).transpose()?;
+        let block_target = block_file
+            .map(|path| Target::load(&path, &config.settings, &config.wire_settings))
+            .transpose()?;
         Ok(OptionalSettings { shedding, http2, distribution, block_target })
     }
 
@@ -117,7 +118,7 @@
     pub(super) fn build(input: BuildInput) -> Result<Parts, DaemonError> {
         let BuildInput { config, follows_relays, state_folder, lifecycle, counters } = input;
         let settings = &config.settings;
-        let wire_settings = &config.notes;
+        let wire_settings = &config.wire_settings;
         let dispatcher = Dispatcher::new(settings.clone(), config.seed, Clock::start(), counters.clone())?;
         let descriptors = DescriptorBudget::new(config.limits.descriptors(), counters.clone());
         let memory = BodyMemory::new(config.limits.memory_mb);
@@ -245,6 +246,6 @@
         config.settings.heads,
         config.seed,
         config.settings.poll_interval_s.is_some() || follows_relays,
-        crate::core::seconds(config.notes.drain_grace),
+        crate::core::seconds(config.wire_settings.drain_grace),
     )
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -60,7 +60,7 @@
         operators_file: OperatorsFile,
         state_folder: Option<PathBuf>,
     ) -> Daemon {
-        let counters = Counters::new(&config.notes.class_names);
+        let counters = Counters::new(&config.wire_settings.class_names);
         let lifecycle = Rc::default();
         Daemon { config_path, config, block_file, operators_file, state_folder, lifecycle, counters }
     }
@@ -84,7 +84,7 @@
             lifecycle,
             counters,
         })?;
-        if let Some(address) = config.ops {
+        if let Some(address) = config.admin_address {
             parts.start_admin_server(address)?;
         }
 
@@ -99,12 +99,12 @@
         parts.start_observers(&operators_file)?;
 
         let (discovery, discovery_address) = watch::channel(config.discovery);
-        let context = parts.frontend_context(config.notes.clone());
+        let context = parts.frontend_context(config.wire_settings.clone());
         start_http2_frontend(listeners.http2, http2, &context);
         let frontend = Rc::new(HttpFrontend { desk: context });
         let tasks = BackgroundTasks::start(&parts);
         let source = EndpointListSource::new(distribution, discovery_address, &parts.directory, &config)?;
-        let endpoint_list = start_endpoint_list(&parts, config.known, source, sockets);
+        let endpoint_list = start_endpoint_list(&parts, config.cached_list, source, sockets);
 
         let reloader = Reloader {
             config_path,
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -67,7 +67,7 @@
         };
         operators_file.http2()?;
         operators_file.distribution()?;
-        let shedding = operators_file.levels(&config.notes)?;
+        let shedding = operators_file.shedding(&config.wire_settings)?;
         Ok(NewConfiguration { config, operators_file, shedding })
     }
 
@@ -76,7 +76,10 @@
             ("name", new.config.name != self.name),
             ("listen", new.config.listen != self.listen),
             ("settings", new.config.settings != self.settings),
-            ("the operators' file, but for its levels,", new.operators_file.restarts(&self.operators_file)),
+            (
+                "the operators' file, but for its levels,",
+                new.operators_file.takes_restart(&self.operators_file),
+            ),
         ];
         for (part, changed) in changes {
             if changed {
--- a/src/main.rs
+++ b/src/main.rs
@@ -42,9 +42,9 @@
     let config_path =
         std::env::var(CONFIG_FILE).map_err(|_| format!("{CONFIG_FILE} names no configuration"))?;
     let mut config = Config::load(&config_path)?;
-    if let (None, Some(address)) = (config.ops, variable(ADMIN_ADDRESS)) {
+    if let (None, Some(address)) = (config.admin_address, variable(ADMIN_ADDRESS)) {
         let parsed = address.parse().map_err(|problem| format!("{ADMIN_ADDRESS}: {address}: {problem}"))?;
-        config.ops = Some(parsed);
+        config.admin_address = Some(parsed);
     }
     log::info!("daemon: {} starts, discovery at {}", config.name, config.discovery);
     let operators_file = match variable(OPERATORS_FILE) {
