--- a/crates/load-shedding/src/settings/mod.rs
+++ b/crates/load-shedding/src/settings/mod.rs
@@ -1,8 +1,9 @@
-//! The settings of load shedding, checked. [`file`] is their form in TOML, `check` turns one into the other and tells
-//! what is wrong with line and key, `defaults` holds the levels that apply where a file has none. Nothing is taken
-//! from a file that is wrong anywhere.
+//! The settings of load shedding, checked. [`file`] is their form in TOML, `check` and `check_level` turn it into
+//! settings and tell what is wrong with line and key, `defaults` holds the levels that apply where a file has none.
+//! Nothing is taken from a file that is wrong anywhere.
 
 mod check;
+mod check_level;
 mod defaults;
 pub mod file;
 
