--- a/src/discovery/relays/tests.rs
+++ b/src/discovery/relays/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of one watch against a relay in the test's own thread.
+//! Tests of one watch against a test relay in the same thread.
 
 use super::*;
 use crate::core::{Clock, Dispatcher};
@@ -17,10 +17,10 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Longest wait; only failures take that long.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait; only a failing test takes that long.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Of an installation with one class and one plan.
+/// Settings with one request class and one service level.
 const SETTINGS: &str = r#"{"bounds":{"cancel":true,"conn_idle":15.0,"connect_timeout":0.5,"max_attempts":3,
  "max_retry_after":2.0,"retry_after":true},
  "classes":[{"aim":0.4,"deadline":2.0,"idempotency":"safe","late_worth":0.2,"name":"play-fetch","worth":3.0}],
@@ -53,31 +53,31 @@
     )
 }
 
-/// A call on a relay.
-struct Call {
-    line: String,
+/// A connection of the head to the test relay.
+struct HeadConnection {
+    request_line: String,
     stream: TcpStream,
 }
 
-impl Call {
-    async fn accept(listener: &TcpListener) -> Call {
-        let (mut stream, _) = timeout(PATIENCE, listener.accept()).await.expect("in time").expect("a call");
+impl HeadConnection {
+    async fn accept(listener: &TcpListener) -> HeadConnection {
+        let (mut stream, _) = timeout(WAIT_LIMIT, listener.accept()).await.expect("in time").expect("a call");
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(stream.read_u8().await.expect("a head"));
         }
-        let line = String::from_utf8_lossy(&head).lines().next().unwrap_or_default().to_string();
+        let request_line = String::from_utf8_lossy(&head).lines().next().unwrap_or_default().to_string();
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.expect("written");
-        Call { line, stream }
+        HeadConnection { request_line, stream }
     }
 
-    async fn say(&mut self, text: &str) {
+    async fn send_line(&mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
         self.stream.write_all(chunk.as_bytes()).await.expect("written");
     }
 }
 
-/// Runs a watch on a relay that the test plays.
+/// Runs a watch on a test relay.
 fn with_watch<F: Future<Output = ()>>(
     test: impl FnOnce(Rc<EndpointDirectory>, TcpListener, mpsc::Receiver<WatchReport>) -> F,
 ) {
@@ -109,54 +109,54 @@
     });
 }
 
-async fn reaches(directory: &EndpointDirectory, version: u64) {
+async fn wait_for_version(directory: &EndpointDirectory, version: u64) {
     let reached = async {
         while directory.version() < version {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    timeout(PATIENCE, reached).await.expect("the list is taken in");
+    timeout(WAIT_LIMIT, reached).await.expect("the list is applied");
 }
 
-/// A line that jumps over a version which came from the other relay may lack what changed and changed back.
+/// A list that jumps over a version received from the other relay may lack what changed and changed back.
 #[test]
-fn a_relay_that_jumps_over_a_known_version_is_asked_again_with_that_version() {
+fn a_relay_that_jumps_over_a_known_version_is_watched_again_from_that_version() {
     with_watch(|directory, listener, _reports| async move {
-        let mut first = Call::accept(&listener).await;
-        assert!(first.line.contains("follow=1&since=0"), "{}", first.line);
-        first.say(&list(1, true, "s-1", "ready")).await;
-        reaches(&directory, 1).await;
+        let mut first = HeadConnection::accept(&listener).await;
+        assert!(first.request_line.contains("follow=1&since=0"), "{}", first.request_line);
+        first.send_line(&list(1, true, "s-1", "ready")).await;
+        wait_for_version(&directory, 1).await;
         let other = List::parse(list(3, false, "s-1", "draining").as_bytes()).expect("a list");
         directory.apply(other, &mut Source::at(1), UpdateKind::Changes);
-        first.say(&list(4, false, "s-2", "ready")).await;
-        let mut second = Call::accept(&listener).await;
-        assert!(second.line.contains("follow=1&since=3"), "{}", second.line);
-        assert_eq!(directory.version(), 3, "what jumps over it is left");
-        second.say(&list(4, false, "s-2", "ready")).await;
-        reaches(&directory, 4).await;
+        first.send_line(&list(4, false, "s-2", "ready")).await;
+        let mut second = HeadConnection::accept(&listener).await;
+        assert!(second.request_line.contains("follow=1&since=3"), "{}", second.request_line);
+        assert_eq!(directory.version(), 3, "the list that jumps over it is not applied");
+        second.send_line(&list(4, false, "s-2", "ready")).await;
+        wait_for_version(&directory, 4).await;
     });
 }
 
-/// A head that is told how its watch ended can tell a relay that is busy from one that fails.
+/// The reason distinguishes an overloaded relay from one that fails.
 #[test]
-fn the_end_of_a_watch_is_told_with_its_reason() {
+fn the_loss_of_a_watch_is_reported_with_its_reason() {
     with_watch(|_, listener, mut reports| async move {
-        let mut call = Call::accept(&listener).await;
-        call.say("").await;
-        let event = timeout(PATIENCE, reports.recv()).await.expect("in time").expect("a report").event;
+        let mut call = HeadConnection::accept(&listener).await;
+        call.send_line("").await;
+        let event = timeout(WAIT_LIMIT, reports.recv()).await.expect("in time").expect("a report").event;
         assert!(matches!(event, WatchEvent::Opened));
         call.stream.write_all(b"0\r\n\r\n").await.expect("written");
-        let event = timeout(PATIENCE, reports.recv()).await.expect("in time").expect("a report").event;
+        let event = timeout(WAIT_LIMIT, reports.recv()).await.expect("in time").expect("a report").event;
         assert!(matches!(event, WatchEvent::Lost(LostReason::EndedByRelay)));
         let again = timeout(Duration::from_millis(300), listener.accept()).await;
-        assert!(again.is_err(), "the watch does not call again by itself");
+        assert!(again.is_err(), "the watch does not reconnect by itself");
     });
     with_watch(|_, listener, mut reports| async move {
         let (mut stream, _) = listener.accept().await.expect("a call");
         let _ = stream.read(&mut [0; 1024]).await.expect("a head");
         let busy = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(busy).await.expect("written");
-        let event = timeout(PATIENCE, reports.recv()).await.expect("in time").expect("a report").event;
+        let event = timeout(WAIT_LIMIT, reports.recv()).await.expect("in time").expect("a report").event;
         assert!(matches!(event, WatchEvent::Lost(LostReason::Overloaded { retry_after_s: 7.0 })));
     });
 }
