--- a/src/scheduler/memory_tests.rs
+++ b/src/scheduler/memory_tests.rs
@@ -12,20 +12,20 @@
 fn what_is_out_of_use_is_forgotten() {
     let mut settings = common::settings();
     settings.classes[0].ordered = true;
-    let mut rig = common::Rig::new(settings);
+    let mut harness = common::Harness::new(settings);
     for id in 0..50 {
-        let mut request = common::request(id, common::SAFE);
+        let mut request = common::request(id, common::IDEMPOTENT);
         request.volume = VolumeId(u64::from(id));
-        rig.ask(request);
-        rig.wait(0.01);
-        rig.outcome(id, 0, AttemptOutcome::Ok, 0.01);
+        harness.submit(request);
+        harness.advance(0.01);
+        harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.01);
     }
     let other_entries = |scheduler: &Scheduler| {
         scheduler.extent_order.len() + tagged_volumes(scheduler) + scheduler.requests.len()
     };
-    assert_eq!(rig.scheduler.volume_quotas.len(), 50);
-    rig.wait(61.0);
-    assert_eq!((rig.scheduler.volume_quotas.len(), other_entries(&rig.scheduler)), (0, 0));
+    assert_eq!(harness.scheduler.volume_quotas.len(), 50);
+    harness.advance(61.0);
+    assert_eq!((harness.scheduler.volume_quotas.len(), other_entries(&harness.scheduler)), (0, 0));
 }
 
 /// Guards against tags of shared work that pile up in a node queue: those that virtual time has passed are forgotten.
@@ -34,21 +34,23 @@
     let mut settings = common::settings();
     settings.plans[0].reserve = 0.0;
     settings.max_request_units = 0.0;
-    let mut rig = common::Rig::new(settings);
+    let mut harness = common::Harness::new(settings);
     for id in 0..50 {
-        let request = IoRequest { volume: VolumeId(u64::from(id)), ..common::request(id, common::SAFE) };
-        assert_eq!(common::sent(&rig.ask(request)), [id]);
-        rig.wait(0.02);
-        rig.outcome(id, 0, AttemptOutcome::Ok, 0.02);
+        let request =
+            IoRequest { volume: VolumeId(u64::from(id)), ..common::request(id, common::IDEMPOTENT) };
+        assert_eq!(common::sent(&harness.submit(request)), [id]);
+        harness.advance(0.02);
+        harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.02);
     }
-    // A few volumes' further requests move virtual time on.
+    // A few volumes' retries requests move virtual time on.
     for id in 50..80 {
-        let request = IoRequest { volume: VolumeId(u64::from(id % 2)), ..common::request(id, common::SAFE) };
-        rig.ask(request);
-        rig.wait(0.02);
-        rig.outcome(id, 0, AttemptOutcome::Ok, 0.02);
+        let request =
+            IoRequest { volume: VolumeId(u64::from(id % 2)), ..common::request(id, common::IDEMPOTENT) };
+        harness.submit(request);
+        harness.advance(0.02);
+        harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.02);
     }
-    assert!(tagged_volumes(&rig.scheduler) >= 1);
-    rig.wait(0.6);
-    assert!(tagged_volumes(&rig.scheduler) <= 2, "{} of 50", tagged_volumes(&rig.scheduler));
+    assert!(tagged_volumes(&harness.scheduler) >= 1);
+    harness.advance(0.6);
+    assert!(tagged_volumes(&harness.scheduler) <= 2, "{} of 50", tagged_volumes(&harness.scheduler));
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,16 +8,16 @@
     SlowStartSettings, UpdateKind, VolumeId, ZoneId,
 };
 
-pub const SAFE: ClassId = ClassId(0);
-pub const KEYED: ClassId = ClassId(1);
-pub const UNSAFE: ClassId = ClassId(2);
-pub const FREE: PlanId = PlanId(0);
+pub const IDEMPOTENT: ClassId = ClassId(0);
+pub const WITH_KEY: ClassId = ClassId(1);
+pub const NOT_IDEMPOTENT: ClassId = ClassId(2);
+pub const UNLIMITED: PlanId = PlanId(0);
 pub const LIMITED: PlanId = PlanId(1);
-pub const N: NodeId = NodeId(10);
+pub const NODE: NodeId = NodeId(10);
 
-fn class(aim: f64, deadline: f64, repeat: Idempotency) -> Class {
+fn class(objective: f64, deadline: f64, repeat: Idempotency) -> Class {
     Class {
-        latency_objective_s: aim,
+        latency_objective_s: objective,
         deadline_s: deadline,
         priority_weight: 1.0,
         late_fraction: 0.2,
@@ -77,7 +77,7 @@
     IoRequest {
         id: RequestId(id),
         class,
-        plan: FREE,
+        plan: UNLIMITED,
         volume: VolumeId(1),
         extent: Some(ExtentId(u64::from(id))),
         shard: Some(ShardId(0)),
@@ -89,40 +89,46 @@
 }
 
 /// A scheduler, its clock and how many sends each request had.
-pub struct Rig {
+pub struct Harness {
     pub scheduler: Scheduler,
     pub now: f64,
 }
 
-impl Rig {
-    /// Started at 100 s, with one node (`N`) for shard 0.
-    pub fn new(settings: SchedulerSettings) -> Rig {
-        Rig::with_nodes(settings, vec![node(N.0, 0)])
+impl Harness {
+    /// Started at 100 s, with one node (`NODE`) for shard 0.
+    pub fn new(settings: SchedulerSettings) -> Harness {
+        Harness::with_nodes(settings, vec![node(NODE.0, 0)])
     }
 
-    pub fn with_nodes(settings: SchedulerSettings, nodes: Vec<Endpoint>) -> Rig {
+    pub fn with_nodes(settings: SchedulerSettings, nodes: Vec<Endpoint>) -> Harness {
         let scheduler = Scheduler::new(settings, 7, 100.0).expect("settings that can be served");
-        let mut rig = Rig { scheduler, now: 100.0 };
-        rig.tell(vec![Event::EndpointUpdate { kind: UpdateKind::CachedSnapshot, endpoints: nodes }]);
-        rig
+        let mut harness = Harness { scheduler, now: 100.0 };
+        harness.handle(vec![Event::EndpointUpdate { kind: UpdateKind::CachedSnapshot, endpoints: nodes }]);
+        harness
     }
 
-    pub fn tell(&mut self, events: Vec<Event>) -> Vec<Action> {
+    pub fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, &events, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, kind: UpdateKind, nodes: Vec<Endpoint>) -> Vec<Action> {
-        self.tell(vec![Event::EndpointUpdate { kind, endpoints: nodes }])
+    pub fn update_endpoints(&mut self, kind: UpdateKind, nodes: Vec<Endpoint>) -> Vec<Action> {
+        self.handle(vec![Event::EndpointUpdate { kind, endpoints: nodes }])
     }
 
-    pub fn ask(&mut self, request: IoRequest) -> Vec<Action> {
-        self.tell(vec![Event::RequestArrived(request)])
+    pub fn submit(&mut self, request: IoRequest) -> Vec<Action> {
+        self.handle(vec![Event::RequestArrived(request)])
     }
 
-    pub fn outcome(&mut self, id: u32, attempt: usize, outcome: AttemptOutcome, elapsed: f64) -> Vec<Action> {
-        self.tell(vec![Event::AttemptEnded {
+    pub fn end_attempt(
+        &mut self,
+        id: u32,
+        attempt: usize,
+        outcome: AttemptOutcome,
+        elapsed: f64,
+    ) -> Vec<Action> {
+        self.handle(vec![Event::AttemptEnded {
             request: RequestId(id),
             attempt,
             outcome,
@@ -136,7 +142,7 @@
     }
 
     /// Moves the clock on in steps of one tick, and collects all that is done meanwhile.
-    pub fn wait(&mut self, seconds: f64) -> Vec<Action> {
+    pub fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let end = self.now + seconds;
         let mut actions = Vec::new();
         while self.now < end {
@@ -156,7 +162,7 @@
     sends.collect()
 }
 
-pub fn refused(actions: &[Action]) -> Vec<u32> {
+pub fn rejected(actions: &[Action]) -> Vec<u32> {
     let refusals = actions.iter().filter_map(|a| match a {
         Action::Reject { request, .. } => Some(request.0),
         _ => None,
--- a/tests/equivalence/pair.rs
+++ b/tests/equivalence/pair.rs
@@ -1,4 +1,4 @@
-//! The module and its reference, told the same.
+//! The module and its reference, given the same events.
 
 use super::reference;
 use flaxgap::Scheduler;
@@ -12,14 +12,14 @@
 
 impl Pair {
     /// Both with the same settings and seed.
-    pub fn new(set: SchedulerSettings, seed: u64, now: f64) -> Pair {
-        let new = Scheduler::new(set.clone(), seed, now).expect("settings that can be served");
-        let old = reference::Scheduler::new(set, seed, now).expect("settings that can be served");
+    pub fn new(config: SchedulerSettings, seed: u64, now: f64) -> Pair {
+        let new = Scheduler::new(config.clone(), seed, now).expect("settings that can be served");
+        let old = reference::Scheduler::new(config, seed, now).expect("settings that can be served");
         Pair { new, old }
     }
 
-    /// Tells both, and asserts that they ask for the same.
-    pub fn tell(&mut self, now: f64, events: &[Event]) -> Vec<Action> {
+    /// Tells both, and asserts that they arrival for the same.
+    pub fn handle(&mut self, now: f64, events: &[Event]) -> Vec<Action> {
         let (mut new, mut old) = (Vec::new(), Vec::new());
         self.new.handle(now, events, &mut new);
         self.old.handle(now, events, &mut old);
@@ -30,8 +30,8 @@
         new
     }
 
-    /// Asserts that both have counted the same, and says how many requests a level withheld.
-    pub fn agreed_withheld(&self) -> u64 {
+    /// Asserts that both have counted the same, and says how many requests a level shed.
+    pub fn agreed_shed_requests(&self) -> u64 {
         assert_eq!(self.new.reserved_work_stats(), self.old.kept());
         assert_eq!(self.new.shed_requests(), self.old.withheld());
         self.new.shed_requests()
@@ -41,7 +41,7 @@
 /// Whether two actions are equal to the last bit of their times.
 fn same(new: &Action, old: &Action) -> bool {
     let time = |action: &Action| match action {
-        Action::Send { expires_at: abandon_at, .. } => abandon_at.to_bits(),
+        Action::Send { expires_at, .. } => expires_at.to_bits(),
         Action::Reject { retry_after_s: wait, .. } => wait.to_bits(),
         Action::WakeUp { delay_s: delay } => delay.to_bits(),
         _ => 0,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -9,14 +9,14 @@
 
 #[test]
 fn a_node_without_connections_costs_few_attempts() {
-    let mut rig = Rig::new(settings());
+    let mut harness = Harness::new(settings());
     let mut attempts = 0;
     for id in 0..100 {
-        let mut now = sent(&rig.ask(request(id, SAFE)));
-        now.extend(sent(&rig.wait(0.02)));
+        let mut now = sent(&harness.submit(request(id, IDEMPOTENT)));
+        now.extend(sent(&harness.advance(0.02)));
         for id in now {
             attempts += 1;
-            rig.tell(vec![Event::AttemptEnded {
+            harness.handle(vec![Event::AttemptEnded {
                 request: RequestId(id),
                 attempt: 0,
                 outcome: AttemptOutcome::ConnectFailed,
@@ -34,101 +34,104 @@
 
 #[test]
 fn a_replacement_serves_what_waits_for_its_shard() {
-    let mut rig = Rig::new(settings());
-    let gone = Endpoint { state: NodeState::Gone, ..node(N.0, 0) };
-    rig.list(UpdateKind::Changes, vec![gone]);
-    assert!(sent(&rig.ask(request(1, SAFE))).is_empty());
-    let actions = rig.list(UpdateKind::Changes, vec![node(99, 0)]);
+    let mut harness = Harness::new(settings());
+    let gone = Endpoint { state: NodeState::Gone, ..node(NODE.0, 0) };
+    harness.update_endpoints(UpdateKind::Changes, vec![gone]);
+    assert!(sent(&harness.submit(request(1, IDEMPOTENT))).is_empty());
+    let actions = harness.update_endpoints(UpdateKind::Changes, vec![node(99, 0)]);
     assert!(actions.iter().any(|a| matches!(a, Action::Send { node: NodeId(99), .. })));
 }
 
 #[test]
-fn a_failed_list_call_is_repeated_with_backoff_and_a_watch_asked_for_at_the_start() {
-    let mut set = settings();
-    set.poll_interval_s = Some(10.0);
-    let asks = |actions: &[Action]| actions.iter().filter(|a| **a == Action::PollEndpoints).count();
+fn a_failed_poll_is_repeated_with_backoff_and_the_list_polled_at_the_start() {
+    let mut config = settings();
+    config.poll_interval_s = Some(10.0);
+    let arrivals = |actions: &[Action]| actions.iter().filter(|a| **a == Action::PollEndpoints).count();
     let mut first = Vec::new();
     let list = Event::EndpointUpdate { kind: UpdateKind::CachedSnapshot, endpoints: vec![] };
-    let fresh = flaxgap::Scheduler::new(set.clone(), 7, 100.0);
+    let fresh = flaxgap::Scheduler::new(config.clone(), 7, 100.0);
     fresh.expect("settings that can be served").handle(100.0, &[list], &mut first);
-    assert_eq!(asks(&first), 1, "at the start, though a cached list came");
-    let mut rig = Rig::new(set);
-    rig.now += 0.002;
+    assert_eq!(arrivals(&first), 1, "at the start, though a cached list came");
+    let mut harness = Harness::new(config);
+    harness.now += 0.002;
     let mut early = 0;
     for _ in 0..4 {
-        early += asks(&rig.list(UpdateKind::PollFailed, vec![]));
-        early += asks(&rig.wait(0.2));
+        early += arrivals(&harness.update_endpoints(UpdateKind::PollFailed, vec![]));
+        early += arrivals(&harness.advance(0.2));
     }
     assert_eq!(early, 0, "not within the first pause");
-    assert_eq!(asks(&rig.wait(9.0)), 1);
-    rig.list(UpdateKind::Snapshot, vec![node(N.0, 0)]);
-    assert_eq!(asks(&rig.wait(60.0)), 0, "a watch that holds is left alone");
+    assert_eq!(arrivals(&harness.advance(9.0)), 1);
+    harness.update_endpoints(UpdateKind::Snapshot, vec![node(NODE.0, 0)]);
+    assert_eq!(arrivals(&harness.advance(60.0)), 0, "a watch that holds is left alone");
 }
 
 #[test]
 fn events_about_the_unknown_are_ignored() {
-    let mut rig = Rig::new(settings());
-    rig.ask(request(1, SAFE));
+    let mut harness = Harness::new(settings());
+    harness.submit(request(1, IDEMPOTENT));
     for (id, attempt) in [(1, 7), (42, 0)] {
-        assert!(sent(&rig.outcome(id, attempt, AttemptOutcome::Ok, 0.1)).is_empty());
+        assert!(sent(&harness.end_attempt(id, attempt, AttemptOutcome::Ok, 0.1)).is_empty());
     }
-    rig.outcome(1, 0, AttemptOutcome::Ok, 0.1);
-    assert!(sent(&rig.outcome(1, 0, AttemptOutcome::Error, 0.1)).is_empty(), "an ended attempt");
-    rig.tell(vec![
+    harness.end_attempt(1, 0, AttemptOutcome::Ok, 0.1);
+    assert!(sent(&harness.end_attempt(1, 0, AttemptOutcome::Error, 0.1)).is_empty(), "an ended attempt");
+    harness.handle(vec![
         Event::ClientDisconnected { request: RequestId(9) },
         Event::StreamingStarted { request: RequestId(9) },
         Event::HealthChecked { node: NodeId(5), healthy: true, load_report: LoadReport::default() },
     ]);
-    let odd = IoRequest { class: ClassId(9), plan: PlanId(9), ..request(2, SAFE) };
-    assert_eq!(refused(&rig.ask(odd)), [2]);
+    let odd = IoRequest { class: ClassId(9), plan: PlanId(9), ..request(2, IDEMPOTENT) };
+    assert_eq!(rejected(&harness.submit(odd)), [2]);
 }
 
 #[test]
 fn odd_requests_are_served_or_answered_once() {
-    let mut rig = Rig::new(settings());
+    let mut harness = Harness::new(settings());
     let odd = [
-        IoRequest { units: 0.0, ..request(1, SAFE) },
-        IoRequest { units: f64::NAN, heads: 0, ..request(2, SAFE) },
-        IoRequest { plan: PlanId(77), extent: None, ..request(3, SAFE) },
-        IoRequest { shard: Some(ShardId(4000)), ..request(4, SAFE) },
-        IoRequest { remaining_s: 0.0, ..request(5, SAFE) },
-        IoRequest { units: 1e9, plan: LIMITED, ..request(6, SAFE) },
+        IoRequest { units: 0.0, ..request(1, IDEMPOTENT) },
+        IoRequest { units: f64::NAN, heads: 0, ..request(2, IDEMPOTENT) },
+        IoRequest { plan: PlanId(77), extent: None, ..request(3, IDEMPOTENT) },
+        IoRequest { shard: Some(ShardId(4000)), ..request(4, IDEMPOTENT) },
+        IoRequest { remaining_s: 0.0, ..request(5, IDEMPOTENT) },
+        IoRequest { units: 1e9, plan: LIMITED, ..request(6, IDEMPOTENT) },
     ];
-    let actions = rig.tell(odd.into_iter().map(Event::RequestArrived).collect());
+    let actions = harness.handle(odd.into_iter().map(Event::RequestArrived).collect());
     assert_eq!(sent(&actions), [1, 2, 3]);
-    assert_eq!(refused(&actions), [5, 6], "no time left, and more than its limit ever holds");
+    assert_eq!(rejected(&actions), [5, 6], "no time left, and more than its limit ever holds");
     for id in [1, 2, 3] {
-        rig.outcome(id, 0, AttemptOutcome::Ok, 0.0);
+        harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.0);
     }
-    let mut late = refused(&rig.wait(1.1));
+    let mut late = rejected(&harness.advance(1.1));
     late.sort();
     assert_eq!(late, [4]);
 }
 
 #[test]
 fn settings_that_no_deployment_has_are_served() {
-    let mut set = settings();
-    set.classes.truncate(1);
-    set.plans.clear();
-    (set.heads, set.health_checks, set.load_reports_in_answers, set.tick_s) = (1, true, false, 0.0);
-    set.slow_start = SlowStartSettings {
+    let mut config = settings();
+    config.classes.truncate(1);
+    config.plans.clear();
+    (config.heads, config.health_checks, config.load_reports_in_answers, config.tick_s) =
+        (1, true, false, 0.0);
+    config.slow_start = SlowStartSettings {
         units: 0.0,
         window_s: 0.0,
         initial_capacity: 0.0,
         warm_up_s: 0.0,
         overload_factor: 2.5,
     };
-    let mut rig = Rig::new(set);
-    assert_eq!(sent(&rig.ask(request(1, SAFE))), [1]);
-    assert!(rig.outcome(1, 0, AttemptOutcome::Ok, 0.1).iter().all(|a| matches!(a, Action::WakeUp { .. })));
+    let mut harness = Harness::new(config);
+    assert_eq!(sent(&harness.submit(request(1, IDEMPOTENT))), [1]);
+    assert!(
+        harness.end_attempt(1, 0, AttemptOutcome::Ok, 0.1).iter().all(|a| matches!(a, Action::WakeUp { .. }))
+    );
 }
 
 #[test]
-fn impossible_settings_are_refused_by_field() {
+fn impossible_settings_are_rejected_by_field() {
     let wrong = |change: fn(&mut SchedulerSettings)| {
-        let mut set = settings();
-        change(&mut set);
-        flaxgap::Scheduler::new(set, 1, 0.0).err().map(|e| e.field)
+        let mut config = settings();
+        change(&mut config);
+        flaxgap::Scheduler::new(config, 1, 0.0).err().map(|e| e.field)
     };
     assert_eq!(wrong(|s| s.classes[1].deadline_s = 0.0).as_deref(), Some("classes[1].deadline"));
     assert_eq!(wrong(|s| s.plans[0].reserve = -1.0).as_deref(), Some("plans[0].reserve"));
@@ -140,12 +143,12 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut rig = Rig::with_nodes(settings(), vec![node(10, 0), node(11, 1), node(12, 2)]);
+        let mut harness = Harness::with_nodes(settings(), vec![node(10, 0), node(11, 1), node(12, 2)]);
         let mut all = Vec::new();
         for id in 0..60 {
-            all.extend(rig.ask(IoRequest { shard: None, ..request(id, UNSAFE) }));
-            all.extend(rig.wait(0.01));
-            all.extend(rig.outcome(id, 0, AttemptOutcome::Ok, 0.01));
+            all.extend(harness.submit(IoRequest { shard: None, ..request(id, NOT_IDEMPOTENT) }));
+            all.extend(harness.advance(0.01));
+            all.extend(harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.01));
         }
         all
     };
@@ -153,32 +156,37 @@
 }
 
 #[test]
-fn a_restart_with_an_old_list_follows_the_next_one() {
-    let mut rig = Rig::with_nodes(settings(), vec![node(10, 0), node(11, 1)]);
+fn a_restart_with_a_cached_list_follows_the_next_one() {
+    let mut harness = Harness::with_nodes(settings(), vec![node(10, 0), node(11, 1)]);
     let cold = Endpoint { started_at: 99.9, ..node(20, 0) };
-    rig.list(UpdateKind::Snapshot, vec![cold]);
-    let big = IoRequest { units: 8.0, remaining_s: 9.0, ..request(1, SAFE) };
-    let mut first = sent(&rig.ask(big));
-    first.extend(sent(&rig.wait(1.7)));
-    assert_eq!(first, [1], "8 units at this host's part of what a cold node bears, 5 a second");
-    assert!(sent(&rig.ask(IoRequest { units: 8.0, ..request(2, SAFE) })).is_empty(), "and no more");
-    assert!(sent(&rig.ask(IoRequest { shard: Some(ShardId(1)), ..request(3, SAFE) })).is_empty());
+    harness.update_endpoints(UpdateKind::Snapshot, vec![cold]);
+    let big = IoRequest { units: 8.0, remaining_s: 9.0, ..request(1, IDEMPOTENT) };
+    let mut first = sent(&harness.submit(big));
+    first.extend(sent(&harness.advance(1.7)));
+    assert_eq!(first, [1], "8 units at this head's part of what a starting node bears, 5 a second");
+    assert!(
+        sent(&harness.submit(IoRequest { units: 8.0, ..request(2, IDEMPOTENT) })).is_empty(),
+        "and no more"
+    );
+    assert!(
+        sent(&harness.submit(IoRequest { shard: Some(ShardId(1)), ..request(3, IDEMPOTENT) })).is_empty()
+    );
 }
 
 #[test]
 fn a_clock_that_stands_still_loses_nothing() {
-    let mut rig = Rig::new(settings());
+    let mut harness = Harness::new(settings());
     for id in 0..50 {
-        rig.ask(request(id, SAFE));
+        harness.submit(request(id, IDEMPOTENT));
     }
     let mut served = 0;
     for id in 0..50 {
-        rig.tell(vec![Event::WakeUp]);
-        rig.outcome(id, 0, AttemptOutcome::Ok, 0.0);
+        harness.handle(vec![Event::WakeUp]);
+        harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.0);
         served += 1;
     }
-    let rest = rig.wait(1.1);
-    assert!(refused(&rest).is_empty() && failed(&rest).is_empty(), "all {served} were served");
+    let rest = harness.advance(1.1);
+    assert!(rejected(&rest).is_empty() && failed(&rest).is_empty(), "all {served} were served");
 }
 
 #[test]
@@ -186,58 +194,60 @@
     let mut list: Vec<Endpoint> = (0..4000).map(|i| node(100 + u64::from(i), i)).collect();
     list.extend((0..2000).map(|i| node(100 + u64::from(i), i)));
     list.push(node(9, u32::MAX));
-    let mut rig = Rig::with_nodes(settings(), list);
-    let actions = rig.ask(IoRequest { shard: Some(ShardId(1999)), ..request(1, SAFE) });
+    let mut harness = Harness::with_nodes(settings(), list);
+    let actions = harness.submit(IoRequest { shard: Some(ShardId(1999)), ..request(1, IDEMPOTENT) });
     assert!(actions.iter().any(|a| matches!(a, Action::Send { node: NodeId(2099), .. })));
-    assert!(sent(&rig.ask(IoRequest { shard: Some(ShardId(5000)), ..request(2, SAFE) })).is_empty());
+    assert!(
+        sent(&harness.submit(IoRequest { shard: Some(ShardId(5000)), ..request(2, IDEMPOTENT) })).is_empty()
+    );
 }
 
 #[test]
-fn a_volume_that_comes_through_more_hosts_than_first_said_keeps_to_its_smaller_part() {
-    let mut rig = Rig::new(settings());
-    rig.wait(20.0);
+fn a_volume_that_comes_through_more_heads_than_first_stated_keeps_to_its_smaller_share() {
+    let mut harness = Harness::new(settings());
+    harness.advance(20.0);
     let mut units = 0.0;
-    for (id, hosts) in [(1, 1), (2, 4), (3, 4), (4, 4), (5, 1)] {
-        let limited = IoRequest { plan: LIMITED, volume: VolumeId(9), heads: hosts, ..request(id, SAFE) };
-        units += 2.0 * sent(&rig.ask(limited)).len() as f64;
-        rig.outcome(id, 0, AttemptOutcome::Ok, 0.001);
+    for (id, heads) in [(1, 1), (2, 4), (3, 4), (4, 4), (5, 1)] {
+        let limited = IoRequest { plan: LIMITED, volume: VolumeId(9), heads, ..request(id, IDEMPOTENT) };
+        units += 2.0 * sent(&harness.submit(limited)).len() as f64;
+        harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.001);
     }
-    assert!((2.0..=6.0).contains(&units), "{units}: a start's part of four hosts, after one request of one");
+    assert!((2.0..=6.0).contains(&units), "{units}: a start's part of four heads, after one request of one");
 }
 
-/// Guards against a lane that stands still behind an attempt whose connection fell silent.
+/// Guards against a node queue that waits behind an attempt whose connection is stalled.
 #[test]
-fn an_overdue_attempt_is_called_off_once_its_node_answered_later_ones() {
-    let mut rig = Rig::new(settings());
-    assert_eq!(sent(&rig.ask(request(1, SAFE))), [1]);
+fn an_overdue_attempt_is_cancelled_once_its_node_answered_later_ones() {
+    let mut harness = Harness::new(settings());
+    assert_eq!(sent(&harness.submit(request(1, IDEMPOTENT))), [1]);
     let mut actions = Vec::new();
     for id in 2..=5 {
-        actions.extend(rig.wait(0.01));
-        actions.extend(rig.ask(request(id, SAFE)));
-        actions.extend(rig.wait(0.01));
-        actions.extend(rig.outcome(id, 0, AttemptOutcome::Ok, 0.01));
+        actions.extend(harness.advance(0.01));
+        actions.extend(harness.submit(request(id, IDEMPOTENT)));
+        actions.extend(harness.advance(0.01));
+        actions.extend(harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.01));
     }
     assert_eq!(sent(&actions), [2, 3, 4, 5]);
-    let called_off = Action::Cancel { request: RequestId(1), attempt: 0 };
-    assert!(!actions.contains(&called_off), "not overdue yet");
-    let later = rig.wait(0.3);
-    assert_eq!(later.iter().filter(|a| **a == called_off).count(), 1);
-    assert_eq!(sent(&rig.outcome(1, 0, AttemptOutcome::Cancelled, 0.3)), [1], "and goes again");
+    let cancelled = Action::Cancel { request: RequestId(1), attempt: 0 };
+    assert!(!actions.contains(&cancelled), "not overdue yet");
+    let later = harness.advance(0.3);
+    assert_eq!(later.iter().filter(|a| **a == cancelled).count(), 1);
+    assert_eq!(sent(&harness.end_attempt(1, 0, AttemptOutcome::Cancelled, 0.3)), [1], "and goes again");
 }
 
 /// Guards against late work that takes up the connections that clients need for reserved work.
 #[test]
-fn late_work_is_refused_at_once_while_half_the_clients_connections_wait() {
-    let mut set = settings();
-    set.max_pending = 20;
-    let mut rig = Rig::with_nodes(set, vec![]);
-    let late = |id| IoRequest { remaining_s: 0.7, ..request(id, SAFE) };
-    rig.ask(late(0));
-    assert!(refused(&rig.wait(0.1)).is_empty(), "a few may wait");
+fn late_work_is_rejected_at_once_while_half_the_clients_connections_wait() {
+    let mut config = settings();
+    config.max_pending = 20;
+    let mut harness = Harness::with_nodes(config, vec![]);
+    let late = |id| IoRequest { remaining_s: 0.7, ..request(id, IDEMPOTENT) };
+    harness.submit(late(0));
+    assert!(rejected(&harness.advance(0.1)).is_empty(), "a few may wait");
     for id in 1..10 {
-        assert!(refused(&rig.ask(request(id, SAFE))).is_empty());
+        assert!(rejected(&harness.submit(request(id, IDEMPOTENT))).is_empty());
     }
-    let both = vec![Event::RequestArrived(late(10)), Event::RequestArrived(request(11, SAFE))];
-    assert_eq!(refused(&rig.tell(both)), [0]);
-    assert_eq!(refused(&rig.wait(0.004)), [10], "and what is not late may still wait");
+    let both = vec![Event::RequestArrived(late(10)), Event::RequestArrived(request(11, IDEMPOTENT))];
+    assert_eq!(rejected(&harness.handle(both)), [0]);
+    assert_eq!(rejected(&harness.advance(0.004)), [10], "and what is not late may still wait");
 }
--- a/tests/levels_module.rs
+++ b/tests/levels_module.rs
@@ -17,12 +17,12 @@
 
 /// A request of the plan with a reserve of 2 units a second, 10 at once.
 fn of(id: u32, volume: u64) -> IoRequest {
-    IoRequest { volume: VolumeId(volume), ..request(id, SAFE) }
+    IoRequest { volume: VolumeId(volume), ..request(id, IDEMPOTENT) }
 }
 
 /// Fills the node's window with other volumes' work, so that what comes next has to wait.
-fn busy(rig: &mut Rig) {
-    let other = IoRequest { units: 0.1, ..request(0, SAFE) };
+fn busy(harness: &mut Harness) {
+    let other = IoRequest { units: 0.1, ..request(0, IDEMPOTENT) };
     let events = (900..904).map(|id| {
         Event::RequestArrived(IoRequest {
             id: RequestId(id),
@@ -30,7 +30,7 @@
             ..other.clone()
         })
     });
-    assert_eq!(sent(&rig.tell(events.collect())).len(), 4);
+    assert_eq!(sent(&harness.handle(events.collect())).len(), 4);
 }
 
 fn waits(actions: &[Action]) -> Vec<f64> {
@@ -40,129 +40,128 @@
         .collect()
 }
 
-/// Guards against a level that eats into a reserve: what is inside it goes on, what is past it is refused at once
-/// and is told when the level may end.
+/// Guards against a level that eats into a reserve: what is inside it goes on, what is past it is rejected at once
+/// and receives when the level may end.
 #[test]
-fn past_the_reserve_is_refused_at_once_and_the_reserve_goes_on() {
-    let mut rig = Rig::new(settings());
-    busy(&mut rig);
-    rig.tell(vec![level(Admission::WithinReserve, rig.now + 7.0)]);
-    let actions = rig.tell((1..=9).map(|id| Event::RequestArrived(of(id, 1))).collect());
-    assert_eq!(refused(&actions), [6, 7, 8, 9], "five of 2 units are in the store of 10");
+fn work_past_the_reserve_is_shed_at_once_and_the_reserve_goes_on() {
+    let mut harness = Harness::new(settings());
+    busy(&mut harness);
+    harness.handle(vec![level(Admission::WithinReserve, harness.now + 7.0)]);
+    let actions = harness.handle((1..=9).map(|id| Event::RequestArrived(of(id, 1))).collect());
+    assert_eq!(rejected(&actions), [6, 7, 8, 9], "five of 2 units are in the store of 10");
     assert!(waits(&actions).iter().all(|wait| (*wait - 7.0).abs() < 0.01), "the honest wait");
-    assert_eq!(rig.scheduler.shed_requests(), 4);
-    assert!(refused(&rig.ask(of(20, 2))).is_empty(), "another volume's reserve is its own");
+    assert_eq!(harness.scheduler.shed_requests(), 4);
+    assert!(rejected(&harness.submit(of(20, 2))).is_empty(), "another volume's reserve is its own");
 }
 
 #[test]
 fn a_level_for_one_class_or_plan_leaves_the_others_alone() {
-    let mut rig = Rig::new(settings());
-    busy(&mut rig);
+    let mut harness = Harness::new(settings());
+    busy(&mut harness);
     let mut pass = vec![vec![Admission::All; 2]; 3];
-    pass[KEYED.0][LIMITED.0] = Admission::WithinReserve;
-    rig.tell(vec![Event::SheddingLevelChanged(SheddingLevel {
+    pass[WITH_KEY.0][LIMITED.0] = Admission::WithinReserve;
+    harness.handle(vec![Event::SheddingLevelChanged(SheddingLevel {
         admission: pass,
         zone_admission: vec![],
         ends_at: 0.0,
     })]);
     let limited = |id, volume, class| {
-        let ask = IoRequest { plan: LIMITED, volume: VolumeId(volume), ..request(id, class) };
-        IoRequest { units: if class == KEYED { 8.0 } else { 2.0 }, ..ask }
+        let arrival = IoRequest { plan: LIMITED, volume: VolumeId(volume), ..request(id, class) };
+        IoRequest { units: if class == WITH_KEY { 8.0 } else { 2.0 }, ..arrival }
     };
-    let burst = (1..=6).map(|id| Event::RequestArrived(limited(id, 7, KEYED))).collect();
-    assert_eq!(refused(&rig.tell(burst)).len(), 5, "saves of the limited plan past 8 units");
-    assert!(refused(&rig.ask(limited(31, 8, SAFE))).is_empty());
-    assert!(refused(&rig.ask(of(32, 3))).is_empty());
+    let burst = (1..=6).map(|id| Event::RequestArrived(limited(id, 7, WITH_KEY))).collect();
+    assert_eq!(rejected(&harness.handle(burst)).len(), 5, "saves of the limited plan past 8 units");
+    assert!(rejected(&harness.submit(limited(31, 8, IDEMPOTENT))).is_empty());
+    assert!(rejected(&harness.submit(of(32, 3))).is_empty());
 }
 
 /// Guards against a surge that is shed on others: at `Share` a volume's part of the pace is its own.
 #[test]
 fn the_surge_of_one_volume_is_shed_and_the_others_are_not() {
-    let mut rig = Rig::new(settings());
+    let mut harness = Harness::new(settings());
     for id in 500..540 {
-        rig.ask(IoRequest { units: 0.1, ..of(id, 77) });
-        rig.now += 0.04;
-        rig.outcome(id, 0, AttemptOutcome::Ok, 0.04);
+        harness.submit(IoRequest { units: 0.1, ..of(id, 77) });
+        harness.now += 0.04;
+        harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.04);
     }
-    busy(&mut rig);
-    rig.tell(vec![level(Admission::WithinQuota, 0.0)]);
+    busy(&mut harness);
+    harness.handle(vec![level(Admission::WithinQuota, 0.0)]);
     let surge = (1..=60).map(|id| Event::RequestArrived(of(id, 1)));
     let others =
         (100..104).flat_map(|id| (0..3).map(move |n| Event::RequestArrived(of(id + 10 * n, u64::from(id)))));
-    let shed = refused(&rig.tell(surge.chain(others).collect()));
+    let shed = rejected(&harness.handle(surge.chain(others).collect()));
     assert!(shed.iter().all(|id| *id <= 60), "{shed:?}");
-    // Its reserve of 10 units, and by weight a fifth of what the window does before its aim.
+    // Its reserve of 10 units, and by weight a fifth of what the window does before its objective.
     assert_eq!(shed.len(), 51, "{shed:?}");
 }
 
-/// Guards against sending on into a hall that is cut off, and against never finding out that it is back.
+/// Guards against sending on into a zone that is cut off, and against never finding out that it is back.
 #[test]
-fn at_a_cut_hall_one_request_at_a_time_tries_the_way_and_the_rest_is_refused() {
+fn in_a_zone_with_trials_only_one_request_at_a_time_is_sent_and_the_rest_is_shed() {
     let mut cut = node(11, 1);
     cut.zone = ZoneId(1);
-    let mut rig = Rig::with_nodes(settings(), vec![node(N.0, 0), cut]);
+    let mut harness = Harness::with_nodes(settings(), vec![node(NODE.0, 0), cut]);
     let zones = vec![(ZoneId(1), vec![vec![Admission::TrialOnly; 2]; 3])];
-    rig.tell(vec![Event::SheddingLevelChanged(SheddingLevel {
+    harness.handle(vec![Event::SheddingLevelChanged(SheddingLevel {
         admission: vec![],
         zone_admission: zones,
-        ends_at: rig.now + 2.0,
+        ends_at: harness.now + 2.0,
     })]);
     let there = |id| IoRequest { shard: Some(ShardId(1)), ..of(id, u64::from(id)) };
-    let actions = rig.tell((1..=5).map(|id| Event::RequestArrived(there(id))).collect());
-    assert_eq!((sent(&actions), refused(&actions)), (vec![1], vec![2, 3, 4, 5]));
-    let Some(Action::Send { expires_at: abandon_at, .. }) =
-        actions.iter().find(|a| matches!(a, Action::Send { .. }))
+    let actions = harness.handle((1..=5).map(|id| Event::RequestArrived(there(id))).collect());
+    assert_eq!((sent(&actions), rejected(&actions)), (vec![1], vec![2, 3, 4, 5]));
+    let Some(Action::Send { expires_at, .. }) = actions.iter().find(|a| matches!(a, Action::Send { .. }))
     else {
         panic!("sent")
     };
     assert!(
-        (*abandon_at - rig.now - 0.4).abs() < 0.01,
-        "two of the tightest aim, not its client's whole time"
+        (*expires_at - harness.now - 0.4).abs() < 0.01,
+        "two of the tightest objective, not its client's whole time"
     );
     let new = |id| IoRequest { shard: None, ..of(id, u64::from(id)) };
     for id in 20..40 {
-        let actions = rig.ask(new(id));
+        let actions = harness.submit(new(id));
         assert!(actions.iter().all(|a| !matches!(a, Action::Send { node, .. } if *node == NodeId(11))));
-        rig.now += 0.01;
-        rig.outcome(id, 0, AttemptOutcome::Ok, 0.01);
+        harness.now += 0.01;
+        harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.01);
     }
-    rig.now += 0.1;
-    rig.outcome(1, 0, AttemptOutcome::Ok, 0.3);
-    assert_eq!(sent(&rig.ask(there(6))), [6], "the next one");
-    rig.tell(vec![Event::SheddingLevelChanged(SheddingLevel::default())]);
-    assert_eq!(sent(&rig.ask(there(7))), [7], "and all of them once the level is left");
+    harness.now += 0.1;
+    harness.end_attempt(1, 0, AttemptOutcome::Ok, 0.3);
+    assert_eq!(sent(&harness.submit(there(6))), [6], "the next one");
+    harness.handle(vec![Event::SheddingLevelChanged(SheddingLevel::default())]);
+    assert_eq!(sent(&harness.submit(there(7))), [7], "and all of them once the level is left");
 }
 
 /// Guards against a head that starves a volume: one head of five refuses all past the reserve, four do not, and the
 /// reserve is served over all of them together.
 #[test]
-fn one_head_of_five_at_a_level_leaves_every_reserve_whole() {
-    let mut set = settings();
-    set.heads = 5;
+fn one_head_of_five_at_a_level_leaves_every_reserve_complete() {
+    let mut config = settings();
+    config.heads = 5;
     let served = |reduced: u64| {
         let mut units = 0.0;
         for head in 0..5u64 {
-            let mut rig = Rig::new(set.clone());
+            let mut harness = Harness::new(config.clone());
             if head < reduced {
-                rig.tell(vec![level(Admission::WithinReserve, 0.0)]);
+                harness.handle(vec![level(Admission::WithinReserve, 0.0)]);
             }
             let (mut out, mut id): (Vec<(u64, u32)>, u32) = (Vec::new(), 0);
             let mut asked = vec![0];
-            // Ten seconds of what the volume has reserved at each head, while a neighbour asks for twice what the
+            // Ten seconds of what the volume has reserved at each head, while a neighbour arrivals for twice what the
             // node can do in its window.
             for tick in 0..1000u64 {
-                rig.now += 0.01;
+                harness.now += 0.01;
                 let (due, rest): (Vec<_>, Vec<_>) = out.into_iter().partition(|(at, _)| *at <= tick);
                 out = rest;
                 let mut actions = Vec::new();
                 for (_, id) in due {
-                    // Within its aim of 20 ticks.
+                    // Within its objective of 20 ticks.
                     units += if id < 10_000 && tick - asked[id as usize] <= 20 { 2.0 } else { 0.0 };
-                    actions.extend(rig.outcome(id, 0, AttemptOutcome::Ok, 0.04));
+                    actions.extend(harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.04));
                 }
                 let surge = (0..2).map(|n| of(10_000 + 2 * tick as u32 + n, 9));
                 let mut events: Vec<Event> =
-                    surge.map(|ask| Event::RequestArrived(IoRequest { heads: 5, ..ask })).collect();
+                    surge.map(|arrival| Event::RequestArrived(IoRequest { heads: 5, ..arrival })).collect();
                 if tick < 950 && tick % 500 == 100 * head {
                     // All of its store at once, then what has come in since.
                     for _ in 0..if tick < 500 { 5 } else { 2 } {
@@ -171,7 +170,7 @@
                         events.push(Event::RequestArrived(IoRequest { heads: 5, ..of(id, 1) }));
                     }
                 }
-                actions.extend(rig.tell(events));
+                actions.extend(harness.handle(events));
                 out.extend(sent(&actions).into_iter().map(|id| (tick + 4, id)));
             }
         }
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -10,7 +10,7 @@
 const REQUESTS: u64 = 4000;
 
 /// Memory at most, in MB, descriptors, and processor time so far, in seconds.
-fn taken(head: &Head) -> (f64, usize, f64) {
+fn resource_use(head: &Head) -> (f64, usize, f64) {
     let proc = format!("/proc/{}", head.pid());
     let status = std::fs::read_to_string(format!("{proc}/status")).expect("its status");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
@@ -21,21 +21,21 @@
     (peak / 1024.0, std::fs::read_dir(format!("{proc}/fd")).expect("descriptors").count(), ticks / 100.0)
 }
 
-/// Asks for data on shards drawn by chance, over as many connections as there are clients; how many were served.
-fn ask(head: &Head, requests: u64, shards: impl Fn(u64) -> u64 + Sync) -> u64 {
+/// Asks for data on shards drawn at random, over as many connections as there are clients; how many were served.
+fn send_requests(head: &Head, requests: u64, shards: impl Fn(u64) -> u64 + Sync) -> u64 {
     let served = AtomicU64::new(0);
     thread::scope(|scope| {
         for client in 0..CLIENTS {
             let (served, shards) = (&served, &shards);
             scope.spawn(move || {
-                let (mut at, mut chance) =
+                let (mut at, mut random) =
                     (Client::new(head.http), client.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1);
                 for _ in 0..requests / CLIENTS {
-                    chance ^= chance << 13;
-                    chance ^= chance >> 7;
-                    chance ^= chance << 17;
+                    random ^= random << 13;
+                    random ^= random >> 7;
+                    random ^= random << 17;
                     let text = Client::request("play-fetch", "network", 1, 2.0, 0);
-                    let text = text.replace("shard=0", &format!("shard={}", shards(chance >> 11)));
+                    let text = text.replace("shard=0", &format!("shard={}", shards(random >> 11)));
                     served.fetch_add(u64::from(at.ask(&text, b"").status() == 200), Ordering::Relaxed);
                 }
             });
@@ -57,9 +57,13 @@
         let discovery = Discovery::start(&named("ready", 0..count));
         let text = config(&discovery, 1024, "null").replace(r#""n_instances":1"#, r#""n_instances":1024"#);
         let head = Head::start_text(&text, None, &[]);
-        let before = taken(&head).2;
-        assert_eq!(ask(&head, REQUESTS, |draw| draw % u64::from(count)), REQUESTS, "{count} nodes");
-        let (memory, descriptors, spent) = taken(&head);
+        let before = resource_use(&head).2;
+        assert_eq!(
+            send_requests(&head, REQUESTS, |sample| sample % u64::from(count)),
+            REQUESTS,
+            "{count} nodes"
+        );
+        let (memory, descriptors, spent) = resource_use(&head);
         let cost = (spent - before) / REQUESTS as f64 * 1e6;
         println!("{count:5}  {memory:9.1}  {descriptors:11}  {cost:22.0}");
         // The limits of the platform, of which `soak` prices more than half of the memory.
@@ -69,10 +73,13 @@
         discovery.push(&named("draining", 0..half));
         wait(|| (head.counter("list_changes") == 2).then_some(()));
         let seen = || bricks[..half as usize].iter().map(|brick| brick.seen().len()).sum::<usize>();
-        let told = seen();
+        let before_draining = seen();
         let rest = u64::from(count - half);
-        assert_eq!(ask(&head, REQUESTS / 4, |draw| u64::from(half) + draw % rest), REQUESTS / 4);
-        assert_eq!(seen(), told, "{count} nodes: nothing new to those that drain");
+        assert_eq!(
+            send_requests(&head, REQUESTS / 4, |sample| u64::from(half) + sample % rest),
+            REQUESTS / 4
+        );
+        assert_eq!(seen(), before_draining, "{count} nodes: nothing new to those that are draining");
     }
     println!(r#"{{"nodes":[60,200,500,1024],"us_a_request":{costs:.0?}}}"#);
     assert!(costs[3] < 3.0 * costs[0] + 50.0, "time for each request grows with the nodes: {costs:.0?} us");
