--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -12,7 +12,7 @@
 use flaxgap::discovery::schedule::PollSchedule;
 use flaxgap::exclusions::Exclusions;
 use flaxgap::metrics::counters::Counters;
-use flaxgap::node::NodeTransport;
+use flaxgap::node::{NodeTransport, NodeTransportSettings};
 use flaxgap::resources::descriptors::DescriptorBudget;
 use flaxgap::resources::memory::BodyMemory;
 use flaxgap::scheduler::{SchedulerSettings, UpdateKind};
@@ -73,8 +73,16 @@
         let budget = DescriptorBudget::new(SOCKETS, counters.clone());
         let memory = BodyMemory::new(MEMORY_MB);
         let (connect_timeout, conn_idle) = (notes.connect_timeout, notes.conn_idle);
-        let nodes =
-            NodeTransport::new(budget, memory, counters.clone(), connect_timeout, conn_idle, settings.heads);
+        let nodes = NodeTransport::new(
+            budget,
+            memory,
+            counters.clone(),
+            NodeTransportSettings {
+                connect_timeout_s: connect_timeout,
+                node_idle_timeout_s: conn_idle,
+                heads: settings.heads,
+            },
+        );
         let directory = EndpointDirectory::new(
             dispatcher.clone(),
             nodes.clone(),
@@ -97,7 +105,7 @@
         let (discovery, source) = watch::channel(address);
         let mut tasks = vec![
             spawn_local(async move { dispatcher.run_timers().await }),
-            spawn_local(async move { nodes.sweep().await }),
+            spawn_local(async move { nodes.close_idle_connections().await }),
         ];
         if plan.relays.is_empty() {
             let directory = directory.clone();
--- a/src/daemon/build.rs
+++ b/src/daemon/build.rs
@@ -17,7 +17,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::metrics::counters::Counters;
 use crate::metrics::export;
-use crate::node::NodeTransport;
+use crate::node::{NodeTransport, NodeTransportSettings};
 use crate::plugin::Plugin;
 use crate::resources::descriptors::DescriptorBudget;
 use crate::resources::memory::BodyMemory;
@@ -126,9 +126,11 @@
             descriptors.clone(),
             memory.clone(),
             counters.clone(),
-            wire_settings.connect_timeout,
-            wire_settings.conn_idle,
-            settings.heads,
+            NodeTransportSettings {
+                connect_timeout_s: wire_settings.connect_timeout,
+                node_idle_timeout_s: wire_settings.conn_idle,
+                heads: settings.heads,
+            },
         );
         let exclusions = Rc::new(Exclusions::load(state_folder, &config.name));
         let directory = EndpointDirectory::new(
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -43,7 +43,7 @@
         BackgroundTasks {
             scheduler_clock: spawn_local(async move { dispatcher.run_timers().await }),
             load_shedding: spawn_local(async move { shedding.run().await }),
-            connection_pools: spawn_local(async move { nodes.sweep().await }),
+            connection_pools: spawn_local(async move { nodes.close_idle_connections().await }),
         }
     }
 
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -148,9 +148,9 @@
         match node.address {
             Some(address) => {
                 let name = node.name.clone();
-                self.nodes.place(info.node, NodeAddress { name, address, state: info.state });
+                self.nodes.set_address(info.node, NodeAddress { name, address, state: info.state });
             }
-            None => self.nodes.forget(info.node),
+            None => self.nodes.remove_node(info.node),
         }
         info
     }
@@ -158,7 +158,7 @@
     /// A node that is gone, or has left this shard's queue; the transport forgets it.
     fn withdraw(&self, node: &Node) -> Endpoint {
         let info = Endpoint { state: NodeState::Gone, ..node_info(node) };
-        self.nodes.forget(info.node);
+        self.nodes.remove_node(info.node);
         info
     }
 
--- a/src/discovery/relays/tests.rs
+++ b/src/discovery/relays/tests.rs
@@ -4,7 +4,7 @@
 use crate::core::{Clock, Dispatcher};
 use crate::exclusions::Exclusions;
 use crate::metrics::counters::Counters;
-use crate::node::NodeTransport;
+use crate::node::{NodeTransport, NodeTransportSettings};
 use crate::resources::descriptors::DescriptorBudget;
 use crate::resources::memory::BodyMemory;
 use crate::scheduler::UpdateKind;
@@ -34,7 +34,12 @@
     let (settings, notes) = crate::config::read(SETTINGS.as_bytes()).expect("settings");
     let counters = Counters::new(&notes.class_names);
     let budget = DescriptorBudget::new(100, counters.clone());
-    let nodes = NodeTransport::new(budget, BodyMemory::new(64), counters.clone(), 0.5, 15.0, 1);
+    let nodes = NodeTransport::new(
+        budget,
+        BodyMemory::new(64),
+        counters.clone(),
+        NodeTransportSettings { connect_timeout_s: 0.5, node_idle_timeout_s: 15.0, heads: 1 },
+    );
     let dispatcher = Dispatcher::new(settings, 1, Clock::start(), counters.clone()).expect("served");
     let schedule = PollSchedule::new(1, 1, true, Duration::ZERO);
     EndpointDirectory::new(
--- /dev/null
+++ b/src/node/addresses.rs
@@ -0,0 +1,149 @@
+//! The nodes' addresses and whether they take work: one compact record for each listed node, found by the node's id.
+
+use crate::scheduler::{NodeId, NodeState};
+use flaxgap_membership::address::CompactAddress;
+use hashbrown::HashTable;
+use slab::Slab;
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The records grow by their number divided by this: doubling would leave half of the memory unused.
+const GROWTH_DIVISOR: usize = 8;
+/// The least number of records by which they grow.
+const MIN_GROWTH: usize = 16;
+/// Resolution of the times in records. Their count wraps after 497 days: they are logged and nothing else.
+const TICK: Duration = Duration::from_millis(10);
+
+/// A node's address and whether it takes work, by the latest update from discovery.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NodeAddress {
+    /// The node's name, the same at all heads.
+    pub name: Rc<str>,
+    /// The address of its HTTP server.
+    pub address: SocketAddr,
+    /// Whether it takes work.
+    pub state: NodeState,
+}
+
+/// A node's address and the age of that knowledge.
+pub(super) struct AddressStatus {
+    pub(super) address: NodeAddress,
+    /// For how long the node has had this address and state.
+    pub(super) unchanged_for: Duration,
+}
+
+#[derive(Debug)]
+struct AddressRecord {
+    node: NodeId,
+    name: Rc<str>,
+    address: CompactAddress,
+    /// When the node got this address and state, in ticks since the table's creation.
+    changed_at: u32,
+    state: NodeState,
+}
+
+impl AddressRecord {
+    fn new(node: NodeId, address: NodeAddress, changed_at: u32) -> AddressRecord {
+        let NodeAddress { name, address, state } = address;
+        AddressRecord { node, name, address: Some(address).into(), changed_at, state }
+    }
+
+    fn matches(&self, address: &NodeAddress) -> bool {
+        self.state == address.state
+            && self.name == address.name
+            && self.address.get() == Some(address.address)
+    }
+}
+
+/// The addresses of all listed nodes.
+#[derive(Debug)]
+pub(super) struct AddressTable {
+    records: Slab<AddressRecord>,
+    /// Indices into `records`, by the hash of the node's id.
+    index: HashTable<u32>,
+    hasher: RandomState,
+    created_at: Instant,
+}
+
+impl Default for AddressTable {
+    fn default() -> AddressTable {
+        AddressTable {
+            records: Slab::default(),
+            index: HashTable::default(),
+            hasher: RandomState::default(),
+            created_at: Instant::now(),
+        }
+    }
+}
+
+impl AddressTable {
+    fn find(&self, node: NodeId) -> Option<usize> {
+        let hash = self.hasher.hash_one(node);
+        let found = self.index.find(hash, |index| self.records[*index as usize].node == node);
+        found.map(|index| *index as usize)
+    }
+
+    fn record(&self, node: NodeId) -> Option<&AddressRecord> {
+        self.records.get(self.find(node)?)
+    }
+
+    fn ticks(&self) -> u32 {
+        (self.created_at.elapsed().as_millis() / TICK.as_millis()) as u32
+    }
+
+    /// A node's address with its state and the age of that knowledge.
+    pub(super) fn status(&self, node: NodeId) -> Option<AddressStatus> {
+        let record = self.record(node)?;
+        let address =
+            NodeAddress { name: record.name.clone(), address: record.address.get()?, state: record.state };
+        let unchanged_for = TICK * self.ticks().wrapping_sub(record.changed_at);
+        Some(AddressStatus { address, unchanged_for })
+    }
+
+    /// A node's address.
+    pub(super) fn address(&self, node: NodeId) -> Option<SocketAddr> {
+        self.record(node)?.address.get()
+    }
+
+    /// A node's address, if it takes work.
+    pub(super) fn ready_address(&self, node: NodeId) -> Option<SocketAddr> {
+        let record = self.record(node)?;
+        if record.state == NodeState::Ready { record.address.get() } else { None }
+    }
+
+    /// Sets a node's address and state.
+    pub(super) fn insert(&mut self, node: NodeId, address: NodeAddress) {
+        let now = self.ticks();
+        match self.find(node) {
+            None => self.append(AddressRecord::new(node, address, now)),
+            Some(index) => {
+                let record = &mut self.records[index];
+                if !record.matches(&address) {
+                    *record = AddressRecord::new(node, address, now);
+                }
+            }
+        }
+    }
+
+    fn append(&mut self, record: AddressRecord) {
+        if self.records.len() == self.records.capacity() {
+            self.records.reserve_exact(self.records.len() / GROWTH_DIVISOR + MIN_GROWTH);
+        }
+        let hash = self.hasher.hash_one(record.node);
+        let index = self.records.insert(record) as u32;
+        let rehash = |index: &u32| self.hasher.hash_one(self.records[*index as usize].node);
+        self.index.insert_unique(hash, index, rehash);
+    }
+
+    /// Removes a node.
+    pub(super) fn remove(&mut self, node: NodeId) {
+        let hash = self.hasher.hash_one(node);
+        let found = self.index.find_entry(hash, |index| self.records[*index as usize].node == node);
+        let Ok(entry) = found else { return };
+        let (index, _) = entry.remove();
+        self.records.try_remove(index as usize);
+    }
+}
--- /dev/null
+++ b/src/node/attempt.rs
@@ -0,0 +1,166 @@
+//! One attempt: a request sent to a node once, and its outcome.
+
+use super::connection::NodeConnection;
+use super::guard::{NotSentReason, SendGuard, Stage};
+use super::progress::ExchangeProgress;
+use super::request;
+use super::response::{NodeResponse, ResponseError};
+use super::transport::NodeTransport;
+use crate::core::content::Payload;
+use crate::core::{AttemptResult, NodeRequest, PermitExpired, SendPermit};
+use crate::resources::descriptors::Side;
+use crate::scheduler::{AttemptOutcome, NodeId};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// Where an attempt's connection comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionOrigin {
+    Pool,
+    New,
+}
+
+/// Sends a request to a node, over a pooled connection if there is one. The request is written at most once.
+pub(super) async fn run(
+    transport: &NodeTransport,
+    node: NodeId,
+    request: &NodeRequest,
+    permit: &Rc<SendPermit>,
+) -> AttemptResult {
+    let guard = transport.send_guard(node, permit);
+    let Some(address) = guard.check(Stage::Chosen, None).ok().and(guard.address) else {
+        return AttemptResult::empty(AttemptOutcome::NotSent);
+    };
+    Attempt { transport, request, guard, address }.run().await
+}
+
+/// An attempt whose node takes work.
+struct Attempt<'a> {
+    transport: &'a NodeTransport,
+    request: &'a NodeRequest,
+    guard: SendGuard,
+    address: SocketAddr,
+}
+
+impl Attempt<'_> {
+    /// Tries connections until one carries the exchange.
+    async fn run(&self) -> AttemptResult {
+        loop {
+            let (connection, origin) = match self.acquire_connection().await {
+                Ok(acquired) => acquired,
+                Err(outcome) => return AttemptResult::empty(outcome),
+            };
+            let not_sent = match self.exchange(connection).await {
+                Ok(result) => return result,
+                Err(reason) => reason,
+            };
+            match (not_sent, origin) {
+                // Nothing was written, so this is still the same attempt.
+                (NotSentReason::ConnectionUnusable, ConnectionOrigin::Pool) => {}
+                // A node that speaks first on a new connection can't be used.
+                (NotSentReason::ConnectionUnusable, ConnectionOrigin::New) => {
+                    return AttemptResult::empty(AttemptOutcome::ConnectFailed);
+                }
+                (NotSentReason::NodeUnavailable | NotSentReason::PermitExpired(_), _) => {
+                    return AttemptResult::empty(AttemptOutcome::NotSent);
+                }
+            }
+        }
+    }
+
+    /// Takes a connection from the pool or opens one.
+    async fn acquire_connection(&self) -> Result<(NodeConnection, ConnectionOrigin), AttemptOutcome> {
+        if let Some(connection) = self.transport.pool.take(self.guard.node).await {
+            return Ok((connection, ConnectionOrigin::Pool));
+        }
+        match self.open_connection().await {
+            Some(connection) => Ok((connection, ConnectionOrigin::New)),
+            None => Err(self.classify_connect_failure()),
+        }
+    }
+
+    async fn open_connection(&self) -> Option<NodeConnection> {
+        let slot = self.transport.descriptors.slot(Side::Node)?;
+        let connect_by = Instant::now() + self.transport.connect_timeout;
+        let open_by = connect_by.min(self.guard.permit.latest_start());
+        self.transport.counters.node_connections.add();
+        match NodeConnection::open(self.address, slot, open_by, &self.transport.counters).await {
+            Ok(connection) => Some(connection),
+            Err(error) => {
+                log::debug!("node: connect failed, address={}: {error}", self.address);
+                None
+            }
+        }
+    }
+
+    /// The outcome of an attempt that got no connection. That it could wait no longer is not the node's fault.
+    fn classify_connect_failure(&self) -> AttemptOutcome {
+        match self.guard.check_permit(Stage::Chosen) {
+            Err(NotSentReason::PermitExpired(
+                PermitExpired::RetryWindow | PermitExpired::Shutdown | PermitExpired::ClientDisconnected,
+            )) => AttemptOutcome::NotSent,
+            _ => AttemptOutcome::ConnectFailed,
+        }
+    }
+
+    /// Sends the request over a connection and receives the response. An error says that no byte of the request was
+    /// written, and why.
+    async fn exchange(&self, mut connection: NodeConnection) -> Result<AttemptResult, NotSentReason> {
+        // Opening the connection may have taken long.
+        self.guard.check(Stage::Connected, None)?;
+        connection.progress.start(self.has_empty_body(), self.guard.clone());
+        let time_left = self.guard.permit.expires_at.saturating_duration_since(Instant::now());
+        let request =
+            request::build(self.request, self.address, time_left.as_secs_f64(), &connection.progress);
+        let Some(request) = request else { return Ok(AttemptResult::empty(AttemptOutcome::NotSent)) };
+        let response = connection.sender.send_request(request);
+        let receiving = NodeResponse::receive(response, &self.transport.memory);
+        let received = connection.drive(receiving, || self.deadline()).await;
+        if let Some(reason) = connection.progress.refused() {
+            return Err(reason);
+        }
+        let failure = match received {
+            Some(Ok(response)) => {
+                return Ok(response.into_result(connection, self.guard.node, &self.transport.pool));
+            }
+            Some(Err(error)) => Some(error),
+            None => None,
+        };
+        let outcome = self.classify_failure(failure.as_ref(), &connection.progress);
+        Ok(AttemptResult::empty(outcome))
+    }
+
+    fn has_empty_body(&self) -> bool {
+        matches!(&self.request.payload, Payload::Buffered(bytes) if bytes.is_empty())
+    }
+
+    /// By when the attempt must end.
+    fn deadline(&self) -> Instant {
+        match self.request.payload.upload() {
+            Some(upload) => upload.attempt_deadline(),
+            None => self.guard.permit.expires_at,
+        }
+    }
+
+    /// The outcome of an exchange that failed with an error, or that ran out of time (`None`).
+    fn classify_failure(&self, error: Option<&ResponseError>, progress: &ExchangeProgress) -> AttemptOutcome {
+        // The node never had the complete request, so it can't have begun.
+        if !progress.is_request_complete() {
+            return AttemptOutcome::ConnectFailed;
+        }
+        match error {
+            None if !progress.has_response_begun() => AttemptOutcome::Timeout,
+            Some(error) if progress.is_closed_by_node() => {
+                log::debug!("node: connection closed by node, address={}: {error}", self.address);
+                AttemptOutcome::Reset
+            }
+            // The node has run the request, but its response is malformed or stopped midway.
+            _ => {
+                self.transport.counters.spoilt.add();
+                log::debug!("node: malformed response, address={}", self.address);
+                AttemptOutcome::Error
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/node/pool.rs
@@ -0,0 +1,111 @@
+//! Idle connections to the nodes, for reuse.
+
+use super::addresses::AddressTable;
+use super::connection::NodeConnection;
+use super::limits::REUSE_DELAY;
+use crate::scheduler::NodeId;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Longest interval between two searches for connections that have been idle for too long.
+const MAX_EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
+
+struct IdleConnection {
+    /// Identifies it in its pool.
+    id: u64,
+    connection: NodeConnection,
+}
+
+/// The idle connections of all nodes.
+///
+/// A connection that leaves the pool is dropped only after the pool's borrow has ended: its drop returns descriptors,
+/// which may close other connections of the pool.
+pub(super) struct ConnectionPool {
+    addresses: Rc<RefCell<AddressTable>>,
+    /// Of each node, the longest idle first.
+    idle: RefCell<HashMap<NodeId, Vec<IdleConnection>>>,
+    next_id: Cell<u64>,
+    /// How long a connection may be idle.
+    idle_timeout: Duration,
+}
+
+impl ConnectionPool {
+    /// An empty pool.
+    pub(super) fn new(addresses: Rc<RefCell<AddressTable>>, idle_timeout: Duration) -> Rc<ConnectionPool> {
+        Rc::new(ConnectionPool {
+            addresses,
+            idle: RefCell::default(),
+            next_id: Cell::default(),
+            idle_timeout,
+        })
+    }
+
+    /// Takes the most recently used connection that has been idle for `REUSE_DELAY` and is open as far as the runtime
+    /// knows. Those that turn out closed or idle for too long are dropped.
+    pub(super) async fn take(&self, node: NodeId) -> Option<NodeConnection> {
+        loop {
+            let mut connection = self.remove_newest(node)?;
+            connection.slot.busy();
+            if connection.idle_since.elapsed() < self.idle_timeout && connection.is_usable().await {
+                return Some(connection);
+            }
+        }
+    }
+
+    fn remove_newest(&self, node: NodeId) -> Option<NodeConnection> {
+        let mut pool = self.idle.borrow_mut();
+        let idle = pool.get_mut(&node)?;
+        let index = idle.iter().rposition(|idle| idle.connection.idle_since.elapsed() >= REUSE_DELAY)?;
+        Some(idle.remove(index).connection)
+    }
+
+    /// Takes a connection back after an exchange. Drops it if it has ended or its node takes no more work.
+    pub(super) fn put(self: &Rc<Self>, node: NodeId, mut connection: NodeConnection) {
+        if connection.is_closed() || self.addresses.borrow().ready_address(node).is_none() {
+            return;
+        }
+        connection.idle_since = Instant::now();
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        let pool = Rc::downgrade(self);
+        connection.slot.idle(move || {
+            if let Some(pool) = pool.upgrade() {
+                pool.close(node, id);
+            }
+        });
+        self.idle.borrow_mut().entry(node).or_default().push(IdleConnection { id, connection });
+    }
+
+    /// Closes one idle connection, to free its descriptor.
+    fn close(&self, node: NodeId, id: u64) {
+        let mut pool = self.idle.borrow_mut();
+        let Some(idle) = pool.get_mut(&node) else { return };
+        let Some(index) = idle.iter().position(|idle| idle.id == id) else { return };
+        let closed = idle.remove(index);
+        drop(pool);
+        drop(closed);
+    }
+
+    /// Closes all idle connections to a node.
+    pub(super) fn close_all(&self, node: NodeId) {
+        let closed = self.idle.borrow_mut().remove(&node);
+        drop(closed);
+    }
+
+    /// Closes connections that have been idle for too long; runs as long as the program.
+    pub(super) async fn close_expired(&self) {
+        loop {
+            tokio::time::sleep(self.idle_timeout.min(MAX_EXPIRY_INTERVAL)).await;
+            let mut expired = Vec::new();
+            for idle in self.idle.borrow_mut().values_mut() {
+                let first_kept =
+                    idle.iter().position(|idle| idle.connection.idle_since.elapsed() < self.idle_timeout);
+                expired.extend(idle.drain(..first_kept.unwrap_or(idle.len())));
+            }
+            drop(expired);
+        }
+    }
+}
--- /dev/null
+++ b/src/node/response.rs
@@ -0,0 +1,193 @@
+//! A node's response: reading it, classifying it, and streaming one that is too long to buffer.
+
+use super::connection::NodeConnection;
+use super::limits::{
+    MAX_BUFFERED_BYTES, STREAM_STALL_TIMEOUT, STREAM_START_BYTES, UNKNOWN_LENGTH_BUFFER_TIME,
+};
+use super::pool::ConnectionPool;
+use crate::core::AttemptResult;
+use crate::core::content::{IncompleteBody, StreamedBody};
+use crate::resources::memory::{BodyError, BodyMemory, Gathered};
+use crate::scheduler::{AttemptOutcome, LoadReport, NodeId};
+use bytes::Bytes;
+use futures_core::Stream;
+use hyper::body::{Body, Incoming};
+use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue, TRANSFER_ENCODING};
+use hyper::{Response, StatusCode};
+use std::collections::HashMap;
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use thiserror::Error;
+use tokio::time::{Instant, Sleep, sleep_until};
+
+/// Why a node's response could not be read.
+#[derive(Debug, Error)]
+pub(super) enum ResponseError {
+    /// The exchange failed, or the response's head is not valid HTTP.
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+    /// It has both a length and a transfer coding, so it is in doubt where it ends.
+    #[error("response with both content-length and transfer-encoding")]
+    AmbiguousLength,
+    /// Its body broke off, is malformed or too long.
+    #[error(transparent)]
+    Body(#[from] BodyError<hyper::Error>),
+}
+
+/// A response of which the beginning, or all, is buffered.
+pub(super) struct NodeResponse {
+    head: hyper::http::response::Parts,
+    /// What is left of the body.
+    rest: Incoming,
+    buffered: Gathered,
+}
+
+impl NodeResponse {
+    /// Waits for the response and buffers it: all of a short one, the beginning of a longer one.
+    pub(super) async fn receive(
+        response: impl Future<Output = hyper::Result<Response<Incoming>>>,
+        memory: &BodyMemory,
+    ) -> Result<NodeResponse, ResponseError> {
+        let (head, mut body) = response.await?.into_parts();
+        if head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING) {
+            return Err(ResponseError::AmbiguousLength);
+        }
+        // A body of unknown length ends with its connection's close; a reset is an error.
+        let (max_bytes, may_stop_at) = match body.size_hint().exact() {
+            Some(length) if length > MAX_BUFFERED_BYTES as u64 => (STREAM_START_BYTES, None),
+            Some(_) => (MAX_BUFFERED_BYTES, None),
+            None => {
+                let stop_at = Instant::now() + UNKNOWN_LENGTH_BUFFER_TIME;
+                (MAX_BUFFERED_BYTES, Some((stop_at, STREAM_START_BYTES)))
+            }
+        };
+        let buffered = memory.gather(&mut body, max_bytes, may_stop_at).await?;
+        Ok(NodeResponse { head, rest: body, buffered })
+    }
+
+    /// The attempt's result. The connection returns to the pool if the response is complete, goes with the body if
+    /// that is streamed, and is closed otherwise.
+    pub(super) fn into_result(
+        self,
+        connection: NodeConnection,
+        node: NodeId,
+        pool: &Rc<ConnectionPool>,
+    ) -> AttemptResult {
+        let outcome = classify(&self.head);
+        let usage = usage(&self.head.headers);
+        let load_report = load_report(&self.head.headers);
+        let mut body = StreamedBody::from(self.buffered.bytes);
+        if self.buffered.whole {
+            pool.put(node, connection);
+        } else if outcome == AttemptOutcome::Ok {
+            let buffered_length = body.buffered.len() as u64;
+            body.length = self.rest.size_hint().exact().map(|rest| buffered_length + rest);
+            body.rest = Some(Box::pin(StreamedResponse::new(self.rest, connection, node, pool.clone())));
+        }
+        AttemptResult { outcome, body, usage, load_report }
+    }
+}
+
+/// Classifies a response by its head. Only a node that says that it has not run the request has rejected it.
+fn classify(head: &hyper::http::response::Parts) -> AttemptOutcome {
+    let is_unprocessed = head.headers.get("x-unprocessed").is_some_and(|value| value == "1");
+    match head.status {
+        StatusCode::OK => AttemptOutcome::Ok,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_unprocessed => {
+            AttemptOutcome::Rejected
+        }
+        _ => AttemptOutcome::Error,
+    }
+}
+
+/// What the volume was served over all heads, in multiples of its plan's base rate; `None` if it is missing or can't be
+/// read.
+fn usage(headers: &HeaderMap) -> Option<f64> {
+    let text = headers.get("x-iops-used")?.to_str().ok()?;
+    let percent: f64 = text.trim().parse().ok()?;
+    if percent.is_finite() && percent >= 0.0 { Some(percent / 100.0) } else { None }
+}
+
+/// The node's load report; empty if it is missing or can't be read.
+fn load_report(headers: &HeaderMap) -> LoadReport {
+    let json = headers.get("x-backend-load").map(HeaderValue::as_bytes);
+    let values: HashMap<String, f64> =
+        json.and_then(|json| serde_json::from_slice(json).ok()).unwrap_or_default();
+    crate::config::report(values.iter().map(|(name, value)| (name.as_str(), *value)))
+}
+
+/// The rest of a response that is forwarded as it arrives, with the connection that it arrives on. Dropping it closes
+/// the connection, unless the response has ended.
+struct StreamedResponse {
+    /// `None` once the response has ended or failed.
+    connection: Option<NodeConnection>,
+    body: Incoming,
+    node: NodeId,
+    pool: Rc<ConnectionPool>,
+    stall_timer: Pin<Box<Sleep>>,
+}
+
+impl StreamedResponse {
+    fn new(
+        body: Incoming,
+        connection: NodeConnection,
+        node: NodeId,
+        pool: Rc<ConnectionPool>,
+    ) -> StreamedResponse {
+        let stall_timer = Box::pin(sleep_until(Instant::now() + STREAM_STALL_TIMEOUT));
+        StreamedResponse { connection: Some(connection), body, node, pool, stall_timer }
+    }
+
+    /// Polls the body for its next bytes, once the connection has been polled.
+    fn poll_body(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
+        loop {
+            let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
+            self.stall_timer.as_mut().reset(Instant::now() + STREAM_STALL_TIMEOUT);
+            let frame = match frame {
+                Some(Ok(frame)) => frame,
+                Some(Err(error)) => {
+                    self.connection = None;
+                    return Poll::Ready(Some(Err(IncompleteBody::new(error.to_string()))));
+                }
+                None => {
+                    self.return_connection();
+                    return Poll::Ready(None);
+                }
+            };
+            // Trailers are not forwarded.
+            if let Ok(bytes) = frame.into_data() {
+                // A client need not poll past the length that it was told.
+                if self.body.is_end_stream() {
+                    self.return_connection();
+                }
+                return Poll::Ready(Some(Ok(bytes)));
+            }
+        }
+    }
+
+    fn return_connection(&mut self) {
+        if let Some(connection) = self.connection.take() {
+            self.pool.put(self.node, connection);
+        }
+    }
+}
+
+impl Stream for StreamedResponse {
+    type Item = Result<Bytes, IncompleteBody>;
+
+    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
+        // Twice: the body asks the connection for more only when it is polled.
+        for _ in 0..2 {
+            let Some(connection) = &mut self.connection else { return Poll::Ready(None) };
+            connection.poll_http(cx);
+            if let Poll::Ready(item) = self.poll_body(cx) {
+                return Poll::Ready(item);
+            }
+        }
+        ready!(self.stall_timer.as_mut().poll(cx));
+        self.connection = None;
+        Poll::Ready(Some(Err(IncompleteBody::new("the node stopped"))))
+    }
+}
--- /dev/null
+++ b/src/node/tests/connection_reuse.rs
@@ -0,0 +1,108 @@
+//! Reuse of connections: bytes that follow a response are never taken for the response to a later request.
+
+use super::*;
+use crate::core::{SendPermit, Transport};
+use crate::node::limits::REUSE_DELAY;
+use crate::scheduler::AttemptOutcome;
+use std::io::{Read, Write};
+use std::sync::{Arc, Mutex, mpsc};
+
+const RIGHT_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nright";
+const WRONG_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
+
+fn listen_blocking() -> (std::net::TcpListener, SocketAddr) {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    (listener, address)
+}
+
+/// Reads from a connection and has `respond` called for each piece, until the connection ends.
+fn serve(mut stream: std::net::TcpStream, mut respond: impl FnMut(&mut std::net::TcpStream)) {
+    let mut buffer = [0; 1024];
+    while stream.read(&mut buffer).is_ok_and(|count| count > 0) {
+        respond(&mut stream);
+    }
+}
+
+/// A connection is idle, and something arrives on it at the moment of its reuse, after the pool's last check: a second
+/// response, the beginning of one, its end. Nothing is written to it; the same attempt goes over another.
+#[test]
+fn bytes_that_arrive_at_the_moment_of_reuse_are_no_response() {
+    for unexpected in [WRONG_RESPONSE, &WRONG_RESPONSE[..9], b""] {
+        let (listener, address) = listen_blocking();
+        let (accepted_sender, accepted) = mpsc::channel();
+        let requests_on: Arc<Mutex<Vec<usize>>> = Arc::default();
+        let served = requests_on.clone();
+        std::thread::spawn(move || {
+            for (connection, stream) in listener.incoming().flatten().enumerate() {
+                _ = accepted_sender.send(stream.try_clone().expect("a handle"));
+                let served = served.clone();
+                std::thread::spawn(move || {
+                    serve(stream, |stream| {
+                        served.lock().expect("served").push(connection);
+                        _ = stream.write_all(RIGHT_RESPONSE);
+                    });
+                });
+            }
+        });
+        run(async {
+            let (transport, counters) = transport_to(address);
+            let permit = Rc::new(SendPermit::expiring_at(far_future()));
+            let first = transport.send(NODE, &read_request("1"), &permit).await;
+            assert_eq!(first.outcome, AttemptOutcome::Ok);
+            assert_eq!(first.body.buffered, b"right"[..]);
+            let mut node_side = accepted.recv().expect("the first connection");
+            tokio::time::sleep(REUSE_DELAY * 2).await;
+            let mut times_asked = 0;
+            let client = ScriptedClient::new(move || {
+                times_asked += 1;
+                if times_asked == 1 && unexpected.is_empty() {
+                    node_side.shutdown(std::net::Shutdown::Write).expect("an end");
+                } else if times_asked == 1 {
+                    node_side.write_all(unexpected).expect("written");
+                }
+                true
+            });
+            let permit = Rc::new(SendPermit {
+                client: Some(Rc::new(client)),
+                ..SendPermit::expiring_at(far_future())
+            });
+            let second = transport.send(NODE, &read_request("2"), &permit).await;
+            assert_eq!(second.outcome, AttemptOutcome::Ok, "{unexpected:?}");
+            assert_eq!(second.body.buffered, b"right"[..], "{unexpected:?}");
+            assert_eq!(counters.held_back_connection.get(), 1);
+            assert_eq!(counters.node_connections.get(), 2);
+        });
+        assert_eq!(*requests_on.lock().expect("served"), [0, 1], "{unexpected:?}: one request on each");
+    }
+}
+
+/// A second response follows 5 ms after the first: neither a request at once nor a later one takes it for its own.
+#[test]
+fn a_late_second_response_is_no_requests_response() {
+    let (listener, address) = listen_blocking();
+    std::thread::spawn(move || {
+        for (connection, stream) in listener.incoming().flatten().enumerate() {
+            std::thread::spawn(move || {
+                serve(stream, |stream| {
+                    _ = stream.write_all(RIGHT_RESPONSE);
+                    if connection == 0 {
+                        std::thread::sleep(Duration::from_millis(5));
+                        _ = stream.write_all(WRONG_RESPONSE);
+                    }
+                });
+            });
+        }
+    });
+    run(async {
+        let (transport, counters) = transport_to(address);
+        for (id, pause_ms) in [("1", 0), ("2", 60), ("3", 60)] {
+            let permit = Rc::new(SendPermit::expiring_at(far_future()));
+            let result = transport.send(NODE, &read_request(id), &permit).await;
+            assert_eq!(result.outcome, AttemptOutcome::Ok, "request {id}");
+            assert_eq!(result.body.buffered, b"right"[..], "request {id}");
+            tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        }
+        assert_eq!(counters.node_connections.get(), 2, "the first carries no further request");
+    });
+}
--- /dev/null
+++ b/src/node/tests/mod.rs
@@ -0,0 +1,114 @@
+//! Tests of the node transport that need its private parts.
+
+mod attempt;
+mod connection_reuse;
+mod send_guard;
+
+use super::addresses::NodeAddress;
+use super::guard::SendGuard;
+use super::progress::ExchangeProgress;
+use super::stream::InstrumentedStream;
+use super::transport::{NodeTransport, NodeTransportSettings};
+use crate::core::content::Payload;
+use crate::core::{Client, NodeRequest, Operation};
+use crate::metrics::counters::Counters;
+use crate::resources::descriptors::DescriptorBudget;
+use crate::resources::memory::BodyMemory;
+use crate::scheduler::{NodeId, NodeState};
+use bytes::Bytes;
+use std::cell::RefCell;
+use std::fmt;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::Instant;
+
+const NODE: NodeId = NodeId(1);
+
+/// A client whose connection state is asked of a closure, which may act at that very moment.
+struct ScriptedClient<F> {
+    is_connected: RefCell<F>,
+}
+
+impl<F: FnMut() -> bool> ScriptedClient<F> {
+    fn new(is_connected: F) -> ScriptedClient<F> {
+        ScriptedClient { is_connected: RefCell::new(is_connected) }
+    }
+}
+
+impl<F> fmt::Debug for ScriptedClient<F> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("ScriptedClient")
+    }
+}
+
+impl<F: FnMut() -> bool> Client for ScriptedClient<F> {
+    fn is_connected(&self) -> bool {
+        (self.is_connected.borrow_mut())()
+    }
+}
+
+/// Runs a test's future on a single-threaded runtime.
+fn run(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    runtime.block_on(test);
+}
+
+/// Long enough that no test reaches it.
+fn far_future() -> Instant {
+    Instant::now() + Duration::from_secs(60)
+}
+
+/// A transport that knows no node, and its counters.
+fn empty_transport() -> (Rc<NodeTransport>, Rc<Counters>) {
+    let counters = Rc::new(Counters::default());
+    let settings = NodeTransportSettings { connect_timeout_s: 5.0, node_idle_timeout_s: 15.0, heads: 1 };
+    let descriptors = DescriptorBudget::new(100, counters.clone());
+    let transport = NodeTransport::new(descriptors, BodyMemory::new(32), counters.clone(), settings);
+    (transport, counters)
+}
+
+/// A transport that knows `NODE` at an address, ready, and its counters.
+fn transport_to(address: SocketAddr) -> (Rc<NodeTransport>, Rc<Counters>) {
+    let (transport, counters) = empty_transport();
+    transport.set_address(NODE, node_address(address, NodeState::Ready));
+    (transport, counters)
+}
+
+fn node_address(address: SocketAddr, state: NodeState) -> NodeAddress {
+    NodeAddress { name: "s-1".into(), address, state }
+}
+
+fn read_request(id: &str) -> NodeRequest {
+    NodeRequest {
+        operation: Operation::Read,
+        target: "/play-fetch/1/2".into(),
+        id: Bytes::copy_from_slice(id.as_bytes()),
+        idempotency_key: None,
+        payload: Payload::Buffered(Bytes::new()),
+    }
+}
+
+/// A listener on a free port, and its address.
+async fn listen() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("an address");
+    (listener, address)
+}
+
+/// Both ends of a new connection.
+async fn connect(listener: &TcpListener) -> (TcpStream, TcpStream) {
+    let address = listener.local_addr().expect("an address");
+    let head_side = TcpStream::connect(address).await.expect("a connection");
+    let (node_side, _) = listener.accept().await.expect("a connection");
+    (head_side, node_side)
+}
+
+/// A socket that carries a new exchange with an empty body, under a guard.
+fn guarded_stream(stream: TcpStream, guard: SendGuard, counters: &Rc<Counters>) -> InstrumentedStream {
+    let progress = ExchangeProgress::new(counters.clone());
+    progress.start(true, guard);
+    InstrumentedStream { stream, progress }
+}
--- a/tests/directory_memory.rs
+++ b/tests/directory_memory.rs
@@ -6,7 +6,7 @@
 use flaxgap::discovery::schedule::PollSchedule;
 use flaxgap::exclusions::Exclusions;
 use flaxgap::metrics::counters::Counters;
-use flaxgap::node::{NodeAddress, NodeTransport};
+use flaxgap::node::{NodeAddress, NodeTransport, NodeTransportSettings};
 use flaxgap::resources::descriptors::DescriptorBudget;
 use flaxgap::resources::memory::BodyMemory;
 use flaxgap::scheduler::{NodeId, NodeState, UpdateKind};
@@ -53,9 +53,7 @@
         DescriptorBudget::new(100, counters.clone()),
         BodyMemory::new(64),
         counters.clone(),
-        0.5,
-        15.0,
-        1,
+        NodeTransportSettings { connect_timeout_s: 0.5, node_idle_timeout_s: 15.0, heads: 1 },
     )
 }
 
@@ -66,7 +64,7 @@
     for change in membership.apply(list, &mut Source::default(), 1.0) {
         let NodeChange::Updated { node, .. } = change else { panic!("{change:?}") };
         let address = node.address.expect("an address");
-        nodes.place(
+        nodes.set_address(
             NodeId(u64::from(node.id)),
             NodeAddress { name: node.name, address, state: NodeState::Ready },
         );
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -10,7 +10,7 @@
 use flaxgap::discovery::schedule::PollSchedule;
 use flaxgap::exclusions::Exclusions;
 use flaxgap::metrics::counters::Counters;
-use flaxgap::node::NodeTransport;
+use flaxgap::node::{NodeTransport, NodeTransportSettings};
 use flaxgap::resources::descriptors::DescriptorBudget;
 use flaxgap::resources::memory::BodyMemory;
 use flaxgap::scheduler::{AttemptOutcome, NodeId, UpdateKind};
@@ -53,7 +53,12 @@
         let (settings, notes) = flaxgap::config::read(SETTINGS.as_bytes()).expect("settings");
         let counters = Counters::new(&notes.class_names);
         let budget = DescriptorBudget::new(100, counters.clone());
-        let nodes = NodeTransport::new(budget, BodyMemory::new(64), counters.clone(), 0.5, 15.0, 1);
+        let nodes = NodeTransport::new(
+            budget,
+            BodyMemory::new(64),
+            counters.clone(),
+            NodeTransportSettings { connect_timeout_s: 0.5, node_idle_timeout_s: 15.0, heads: 1 },
+        );
         let dispatcher = Dispatcher::new(settings, 1, Clock::start(), counters.clone()).expect("served");
         let schedule = PollSchedule::new(4200, 1, false, Duration::from_millis(250));
         let bans = Rc::new(Exclusions::load(None, "n0"));
--- a/tests/peers/stand.rs
+++ b/tests/peers/stand.rs
@@ -7,7 +7,7 @@
 use flaxgap::frontend::request::FrontendContext;
 use flaxgap::lifecycle::Lifecycle;
 use flaxgap::metrics::counters::Counters;
-use flaxgap::node::{NodeAddress, NodeTransport};
+use flaxgap::node::{NodeAddress, NodeTransport, NodeTransportSettings};
 use flaxgap::resources::descriptors::DescriptorBudget;
 use flaxgap::resources::memory::BodyMemory;
 use flaxgap::scheduler::{Endpoint, Event, NodeId, NodeState, ShardId, UpdateKind, ZoneId};
@@ -35,7 +35,12 @@
         let counters = Counters::new(&notes.class_names);
         let budget = DescriptorBudget::new(100, counters.clone());
         let (phases, memory) = (Rc::new(Lifecycle::default()), BodyMemory::new(64));
-        let nodes = NodeTransport::new(budget.clone(), memory.clone(), counters.clone(), 0.5, 15.0, 1);
+        let nodes = NodeTransport::new(
+            budget.clone(),
+            memory.clone(),
+            counters.clone(),
+            NodeTransportSettings { connect_timeout_s: 0.5, node_idle_timeout_s: 15.0, heads: 1 },
+        );
         let dispatcher = Dispatcher::new(settings, 1, Clock::start(), counters.clone()).expect("served");
         let front = Rc::new(HttpFrontend {
             desk: Rc::new(FrontendContext {
@@ -59,7 +64,7 @@
     /// Has a brick take work for shard 0 from now on.
     pub fn list(&self, brick: &Brick) {
         let place = NodeAddress { name: "s-1".into(), address: brick.address, state: NodeState::Ready };
-        self.nodes.place(NodeId(1), place);
+        self.nodes.set_address(NodeId(1), place);
         let (node, shard, zone) = (NodeId(1), ShardId(0), ZoneId(0));
         let node = Endpoint { node, shard, started_at: 0.0, zone, state: NodeState::Ready };
         self.dispatcher
--- a/tests/scenarios_http.rs
+++ b/tests/scenarios_http.rs
@@ -184,7 +184,7 @@
     use flaxgap::frontend::http::HttpFrontend;
     use flaxgap::frontend::request;
     use flaxgap::metrics::counters::Counters;
-    use flaxgap::node::NodeTransport;
+    use flaxgap::node::{NodeTransport, NodeTransportSettings};
     use flaxgap::resources::descriptors;
     use flaxgap::resources::memory::BodyMemory;
     use flaxgap::{config, core, lifecycle};
@@ -203,9 +203,7 @@
                     budget.clone(),
                     memory.clone(),
                     counters.clone(),
-                    0.25,
-                    15.0,
-                    1,
+                    NodeTransportSettings { connect_timeout_s: 0.25, node_idle_timeout_s: 15.0, heads: 1 },
                 ),
                 notes,
                 phases: phases.clone(),
@@ -500,8 +498,16 @@
     runtime.block_on(async {
         let counters = Rc::new(Counters::default());
         let budget = descriptors::DescriptorBudget::new(100, counters.clone());
-        let nodes = node::NodeTransport::new(budget, memory::BodyMemory::new(32), counters, 5.0, 15.0, 1);
-        nodes.place(NodeId(1), node::NodeAddress { name: "s-1".into(), address, state: NodeState::Ready });
+        let nodes = node::NodeTransport::new(
+            budget,
+            memory::BodyMemory::new(32),
+            counters,
+            node::NodeTransportSettings { connect_timeout_s: 5.0, node_idle_timeout_s: 15.0, heads: 1 },
+        );
+        nodes.set_address(
+            NodeId(1),
+            node::NodeAddress { name: "s-1".into(), address, state: NodeState::Ready },
+        );
         let until = tokio::time::Instant::now() + PATIENCE;
         let mut outcomes = Vec::new();
         for length in [32 << 20, 10, 0] {
@@ -513,7 +519,10 @@
             );
         }
         assert_eq!(outcomes, [AttemptOutcome::ConnectFailed, AttemptOutcome::Reset, AttemptOutcome::Reset]);
-        nodes.place(NodeId(1), node::NodeAddress { name: "s-1".into(), address, state: NodeState::Draining });
+        nodes.set_address(
+            NodeId(1),
+            node::NodeAddress { name: "s-1".into(), address, state: NodeState::Draining },
+        );
         let envelope = NodeRequest {
             operation: Operation::Read,
             target: "/play-fetch/1/2".into(),
@@ -558,11 +567,12 @@
             descriptors::DescriptorBudget::new(100, counters.clone()),
             memory::BodyMemory::new(32),
             counters,
-            15.0,
-            15.0,
-            1,
+            node::NodeTransportSettings { connect_timeout_s: 15.0, node_idle_timeout_s: 15.0, heads: 1 },
+        );
+        nodes.set_address(
+            NodeId(1),
+            node::NodeAddress { name: "s-1".into(), address, state: NodeState::Ready },
         );
-        nodes.place(NodeId(1), node::NodeAddress { name: "s-1".into(), address, state: NodeState::Ready });
         let envelope = NodeRequest {
             operation: Operation::Read,
             target: "/play-fetch/1/2".into(),
@@ -572,7 +582,7 @@
         };
         let accepting = async {
             sleep(Duration::from_millis(50)).await;
-            nodes.place(
+            nodes.set_address(
                 NodeId(1),
                 node::NodeAddress { name: "s-1".into(), address, state: NodeState::Draining },
             );
