--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -101,7 +101,7 @@
         let (discovery, discovery_address) = watch::channel(config.discovery);
         let context = parts.frontend_context(config.wire_settings.clone());
         start_http2_frontend(listeners.http2, http2, &context);
-        let frontend = Rc::new(HttpFrontend { desk: context });
+        let frontend = Rc::new(HttpFrontend { context });
         let tasks = BackgroundTasks::start(&parts);
         let source = EndpointListSource::new(distribution, discovery_address, &parts.directory, &config)?;
         let endpoint_list = start_endpoint_list(&parts, config.cached_list, source, sockets);
--- a/src/frontend/block/connection.rs
+++ b/src/frontend/block/connection.rs
@@ -3,7 +3,7 @@
 
 use super::error::SessionError;
 use super::pdu::{BHS, Codec, LONGEST_SEGMENT, NO_TAG, Pdu, response};
-use crate::frontend::closing::Shared;
+use crate::frontend::closing::SharedStream;
 use bytes::BytesMut;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -46,7 +46,7 @@
 
 /// A connection with its numbering.
 pub struct Connection {
-    stream: Shared,
+    stream: SharedStream,
     codec: Codec,
     incoming: BytesMut,
     stat_sn: u32,
@@ -59,7 +59,7 @@
     pub fn new(stream: Rc<TcpStream>) -> Connection {
         let codec = Codec { header_digest: false, data_digest: false, longest: LONGEST_SEGMENT };
         Connection {
-            stream: Shared(stream),
+            stream: SharedStream(stream),
             codec,
             incoming: BytesMut::new(),
             stat_sn: 1,
--- a/src/frontend/block/listener.rs
+++ b/src/frontend/block/listener.rs
@@ -3,7 +3,7 @@
 use super::session;
 use super::shared::BlockFrontend;
 use crate::core::Transport;
-use crate::frontend::closing::{self, Why};
+use crate::frontend::closing::{self, CloseReason};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -32,7 +32,7 @@
                 if let Err(problem) = session::serve(front, stream.clone()).await {
                     log::debug!("block: {problem}");
                 }
-                closing::end(&stream, Why::Done, std::future::pending(), &counters).await;
+                closing::close(&stream, CloseReason::Done, std::future::pending(), &counters).await;
             });
         }
     }
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -1,9 +1,9 @@
-//! The platform's front: HTTP/1.1, as a tower service over hyper.
+//! The HTTP/1.1 frontend: a tower service over hyper, and the task that each connection has.
 
 use crate::core::{Client, Transport};
-use crate::frontend::closing::{self, Why};
-use crate::frontend::intake::{Conversation, Intake, LONGEST_HEAD, MOST_FIELDS};
-use crate::frontend::request::{FrontendContext, Outgoing};
+use crate::frontend::closing::{self, CloseReason};
+use crate::frontend::intake::{ConnectionState, MAX_HEAD_BYTES, MAX_HEAD_FIELDS, RequestReader};
+use crate::frontend::request::{FrontendContext, ResponseBody};
 use crate::resources::descriptors::ConnectionSlot;
 use flaxgap_streams::frames::{Head, kind};
 use hyper::body::Incoming;
@@ -14,7 +14,7 @@
 use hyper_util::service::TowerToHyperService;
 use std::convert::Infallible;
 use std::future::Future;
-use std::pin::Pin;
+use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::Duration;
@@ -24,53 +24,72 @@
 
 /// Pause after the system would not give a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a new connection may wait with its first request once the program ends.
-const FIRST_REQUEST: Duration = Duration::from_millis(300);
-/// How often a client is looked after whose request is served while some of its body waits, unread, before its end.
-const LOOK: Duration = Duration::from_millis(100);
-/// How soon a connection is looked at again on which something has come that the runtime has not heard of.
-const HEARD: Duration = Duration::from_millis(5);
-
-/// The HTTP/1.1 front.
+/// How long a new connection may wait with its first request once the program shuts down.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
+/// How often it is checked that the client is still connected while its request is served and some of its body waits,
+/// unread, before the connection's end.
+const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How soon an idle connection that timed out is checked again if bytes have arrived that the runtime has not been
+/// notified of.
+const IDLE_RECHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Error code of a GOAWAY that asks for HTTP/1.1 (RFC 9113, section 7).
+const HTTP_1_1_REQUIRED: u32 = 13;
+
+/// The HTTP/1.1 frontend.
 pub struct HttpFrontend<T> {
-    /// What it shares with other fronts.
-    pub desk: Rc<FrontendContext<T>>,
+    /// What it shares with other frontends.
+    pub context: Rc<FrontendContext<T>>,
 }
 
-/// What a client of HTTP/2 is told here: its first SETTINGS, then GOAWAY with HTTP_1_1_REQUIRED (RFC 9113, section 7).
-fn use_http1() -> Vec<u8> {
-    let text = b"this port speaks HTTP/1.1";
+/// What a client of HTTP/2 is answered here: a first SETTINGS, then a GOAWAY with `HTTP_1_1_REQUIRED`.
+fn http1_required_frames() -> Vec<u8> {
+    let debug_data = b"this port speaks HTTP/1.1";
+    let last_stream = [0; 4];
     let frame = |length, kind| Head { length, kind, flags: 0, stream: 0 }.write();
-    let goaway = frame(8 + text.len() as u32, kind::GOAWAY);
-    [&frame(0, kind::SETTINGS)[..], &goaway, &[0, 0, 0, 0], &13u32.to_be_bytes(), text].concat()
+    let settings = frame(0, kind::SETTINGS);
+    let goaway = frame(8 + debug_data.len() as u32, kind::GOAWAY);
+    [&settings[..], &goaway, &last_stream, &HTTP_1_1_REQUIRED.to_be_bytes(), debug_data].concat()
 }
 
 /// One connection's service.
-struct Service<T> {
-    front: Rc<HttpFrontend<T>>,
+struct ConnectionService<T> {
+    frontend: Rc<HttpFrontend<T>>,
     slot: Rc<ConnectionSlot>,
-    scarce: Rc<Notify>,
-    conversation: Rc<Conversation>,
+    /// Notified when descriptors run short and the connection is to close.
+    descriptors_short: Rc<Notify>,
+    state: Rc<ConnectionState>,
 }
 
-impl<T> Clone for Service<T> {
+impl<T> Clone for ConnectionService<T> {
     fn clone(&self) -> Self {
-        let Service { front, slot, scarce, conversation } = self;
-        let (front, slot) = (front.clone(), slot.clone());
-        Service { front, slot, scarce: scarce.clone(), conversation: conversation.clone() }
+        ConnectionService {
+            frontend: self.frontend.clone(),
+            slot: self.slot.clone(),
+            descriptors_short: self.descriptors_short.clone(),
+            state: self.state.clone(),
+        }
     }
 }
 
-impl<T> Service<T> {
-    /// Between two requests: may be closed if descriptors run short.
-    fn rest(&self) {
-        let scarce = self.scarce.clone();
-        self.slot.idle(move || scarce.notify_one());
+impl<T> ConnectionService<T> {
+    /// Marks the connection idle between two requests: it may be closed if descriptors run short.
+    fn mark_idle(&self) {
+        let descriptors_short = self.descriptors_short.clone();
+        self.slot.idle(move || descriptors_short.notify_one());
+    }
+
+    /// Whether an answer is to say that it is the connection's last. Not if another request has arrived already: it would
+    /// be lost.
+    fn announces_close(&self) -> bool {
+        let context = &self.frontend.context;
+        let close_wanted =
+            self.state.is_close_requested() || context.phases.leaving() || context.budget.crowded();
+        close_wanted && self.state.may_announce_close()
     }
 }
 
-impl<T: Transport + 'static> tower::Service<Request<Incoming>> for Service<T> {
-    type Response = Response<Outgoing>;
+impl<T: Transport + 'static> tower::Service<Request<Incoming>> for ConnectionService<T> {
+    type Response = Response<ResponseBody>;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Infallible>>>>;
 
@@ -80,37 +99,44 @@
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
         let service = self.clone();
-        let conversation = self.conversation.clone();
-        let (grace, doubtful) = (conversation.grace(), conversation.serving());
+        let body_grace = self.state.body_grace();
+        let framing_ambiguous = self.state.service_began();
         Box::pin(async move {
             service.slot.busy();
-            let desk = &service.front.desk;
-            let mut response = desk.answer(request, grace, doubtful, Some(conversation.clone())).await;
-            // Not where another request is on its way already: it would be lost.
-            let close = conversation.closing() || desk.phases.leaving() || desk.budget.crowded();
-            if close && conversation.last() {
+            let client: Rc<dyn Client> = service.state.clone();
+            let answer =
+                service.frontend.context.answer(request, body_grace, framing_ambiguous, Some(client));
+            let mut response = answer.await;
+            if service.announces_close() {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            response.body_mut().at_end(move || {
-                conversation.answered();
-                service.rest();
+            response.body_mut().on_end(move || {
+                service.state.answer_ended();
+                service.mark_idle();
             });
             Ok(response)
         })
     }
 }
 
+/// How the service of a connection ended.
+struct ServiceEnd {
+    reason: CloseReason,
+    /// Whether the connection was to close since descriptors ran short.
+    descriptors_short: bool,
+}
+
 impl<T: Transport + 'static> HttpFrontend<T> {
     /// Accepts clients for as long as it is polled.
     pub async fn listen(self: Rc<Self>, listener: &TcpListener) {
         loop {
-            let slot = self.desk.budget.client_slot().await;
-            match self.desk.phases.next(listener).await {
+            let slot = self.context.budget.client_slot().await;
+            match self.context.phases.next(listener).await {
                 Ok(stream) => self.admit(stream, slot),
-                Err(problem) => {
-                    // Never the end of the program: a descriptor is freed, or the client has left.
-                    log::warn!("http: accept: {problem}");
-                    self.desk.budget.reclaim();
+                Err(error) => {
+                    // Never the end of the program: a descriptor is freed, or the client has disconnected.
+                    log::warn!("http: accept: {error}");
+                    self.context.budget.reclaim();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -119,101 +145,113 @@
 
     /// Serves one connection in a task of its own, from its acceptance to its close.
     pub fn admit(self: &Rc<Self>, stream: TcpStream, slot: ConnectionSlot) {
-        self.desk.counters.client_connections.add();
-        if let Err(problem) = stream.set_nodelay(true) {
-            log::debug!("http: {problem}");
+        self.context.counters.client_connections.add();
+        if let Err(error) = stream.set_nodelay(true) {
+            log::debug!("http: TCP_NODELAY not set: {error}");
         }
-        let (slot, scarce, stream) = (Rc::new(slot), Rc::new(Notify::new()), Rc::new(stream));
-        let conversation = Conversation::new(stream.clone(), self.desk.counters.clone());
-        let notify = scarce.clone();
+        let stream = Rc::new(stream);
+        let slot = Rc::new(slot);
+        let descriptors_short = Rc::new(Notify::new());
+        let notify = descriptors_short.clone();
         slot.silent(move || notify.notify_one());
-        let guard = self.desk.phases.connection();
-        let service = Service { front: self.clone(), slot, scarce: scarce.clone(), conversation };
-        let front = self.clone();
+        let state = ConnectionState::new(stream.clone(), self.context.counters.clone());
+        let connection_guard = self.context.phases.connection();
+        let service = ConnectionService { frontend: self.clone(), slot, descriptors_short, state };
         tokio::task::spawn_local(async move {
-            let _guard = guard;
-            // Held to the end: the connection takes its descriptor for as long.
-            let _slot = service.slot.clone();
-            let (why, short) = front.converse(&stream, service).await;
-            let scarce = async {
-                if !short {
-                    scarce.notified().await;
-                }
-            };
-            closing::end(&stream, why, scarce, &front.desk.counters).await;
+            let _connection_guard = connection_guard;
+            service.run(&stream).await;
         });
     }
+}
 
-    /// Reads requests and answers them until the connection is to end; why it is, and whether descriptors ran short.
-    /// The one place that decides that: a connection ends while it rests and nothing has come on it, not even unread;
-    /// with an answer that says so; or when what has begun on it does not go on in time.
-    async fn converse(&self, stream: &Rc<TcpStream>, service: Service<T>) -> (Why, bool) {
-        let Service { scarce, conversation, .. } = service.clone();
-        let mut closing = self.desk.phases.subscribe_closing();
-        let io = TokioIo::new(Intake::new(conversation.clone()));
-        let mut http = http1::Builder::new();
-        http.max_buf_size(LONGEST_HEAD).max_headers(MOST_FIELDS);
-        let mut connection = std::pin::pin!(http.serve_connection(io, TowerToHyperService::new(service)));
-        // A late connection's first request may have been written and not read yet.
-        let opened = Instant::now();
-        let end = async {
-            let _ = closing.wait_for(|closing| *closing).await;
-            sleep_until(opened + FIRST_REQUEST).await;
+impl<T: Transport + 'static> ConnectionService<T> {
+    /// Serves the connection and closes it. It takes its descriptor until it is closed.
+    async fn run(self, stream: &TcpStream) {
+        let end = self.serve(stream).await;
+        let descriptors_short = async {
+            if !end.descriptors_short {
+                self.descriptors_short.notified().await;
+            }
         };
-        let (mut end, mut ends, mut short) = (std::pin::pin!(end), false, false);
-        let mut due = std::pin::pin!(sleep_until(conversation.due().unwrap_or(opened)));
-        let mut look = std::pin::pin!(sleep_until(opened));
-        let mut looks = false;
-        loop {
-            if conversation.closing() && conversation.rests() && conversation.quiet() {
-                return (if conversation.fresh() { Why::Unused } else { Why::Done }, short);
+        closing::close(stream, end.reason, descriptors_short, &self.frontend.context.counters).await;
+    }
+
+    /// Reads requests and answers them until the connection is to close. The one place that decides that: a connection
+    /// closes while it is idle and nothing has arrived on it, not even unread; with an answer that says so; or when what
+    /// has begun on it does not go on in time.
+    async fn serve(&self, stream: &TcpStream) -> ServiceEnd {
+        let state = &self.state;
+        let io = TokioIo::new(RequestReader::new(state.clone()));
+        let mut builder = http1::Builder::new();
+        builder.max_buf_size(MAX_HEAD_BYTES).max_headers(MAX_HEAD_FIELDS);
+        let mut connection = pin!(builder.serve_connection(io, TowerToHyperService::new(self.clone())));
+        let opened_at = Instant::now();
+        let mut shutdown = pin!(self.shutdown(opened_at));
+        let mut timeout = pin!(sleep_until(state.timeout_at().unwrap_or(opened_at)));
+        let mut client_check = pin!(sleep_until(opened_at));
+        let mut checks_client = false;
+        let mut descriptors_short = false;
+        let mut shutdown_begun = false;
+        let reason = loop {
+            if state.is_close_requested() && state.is_idle() && state.has_nothing_unread() {
+                break if state.is_unused() { CloseReason::Unused } else { CloseReason::Done };
             }
-            if looks != conversation.receives() {
-                looks = !looks;
-                look.as_mut().reset(Instant::now() + LOOK);
+            if checks_client != state.is_receiving_body() {
+                checks_client = !checks_client;
+                client_check.as_mut().reset(Instant::now() + CLIENT_CHECK_INTERVAL);
             }
             tokio::select! {
                 biased;
-                ended = connection.as_mut() => {
-                    if let Err(problem) = &ended {
-                        log::debug!("http: connection ended: {problem}");
-                    }
-                    if conversation.speaks_http2() {
-                        log::info!("http: HTTP/2 on the port of HTTP/1.1");
-                        let told = stream.try_write(&use_http1());
-                        log::debug!("http: told so: {told:?}");
-                    }
-                    let broken = ended.is_err_and(|problem| problem.is_user());
-                    return (if broken { Why::BrokenOff } else { Why::Done }, short);
-                }
-                () = scarce.notified(), if !short => {
-                    short = true;
-                    conversation.close();
+                result = connection.as_mut() => break self.library_ended(result, stream),
+                () = self.descriptors_short.notified(), if !descriptors_short => {
+                    descriptors_short = true;
+                    state.request_close();
                 }
-                () = end.as_mut(), if !ends => {
-                    ends = true;
-                    conversation.close();
+                () = shutdown.as_mut(), if !shutdown_begun => {
+                    shutdown_begun = true;
+                    state.request_close();
                 }
-                () = conversation.moved() => {
-                    if let Some(at) = conversation.due() {
-                        due.as_mut().reset(at);
+                () = state.changed() => if let Some(timeout_at) = state.timeout_at() {
+                    timeout.as_mut().reset(timeout_at);
+                },
+                () = timeout.as_mut(), if state.timeout_at().is_some() => {
+                    if !state.is_idle() && !state.is_unused() {
+                        break CloseReason::Done;
                     }
+                    state.request_close();
+                    timeout.as_mut().reset(Instant::now() + IDLE_RECHECK_INTERVAL);
                 }
-                () = due.as_mut(), if conversation.due().is_some() => {
-                    if !conversation.rests() && !conversation.fresh() {
-                        return (Why::Done, short);
+                () = client_check.as_mut(), if checks_client => {
+                    if !state.is_connected() {
+                        log::debug!("http: client disconnected in the middle of its body");
+                        break CloseReason::Done;
                     }
-                    conversation.close();
-                    due.as_mut().reset(Instant::now() + HEARD);
-                }
-                () = look.as_mut(), if looks => {
-                    if !conversation.is_connected() {
-                        log::debug!("http: a client left in the middle of its body");
-                        return (Why::Done, short);
-                    }
-                    look.as_mut().reset(Instant::now() + LOOK);
+                    client_check.as_mut().reset(Instant::now() + CLIENT_CHECK_INTERVAL);
                 }
             }
+        };
+        ServiceEnd { reason, descriptors_short }
+    }
+
+    /// Ready once the program shuts down and the connection has had time for its first request, which may have been
+    /// written and not read yet.
+    async fn shutdown(&self, opened_at: Instant) {
+        let mut closing = self.frontend.context.phases.subscribe_closing();
+        let _ = closing.wait_for(|closing| *closing).await;
+        sleep_until(opened_at + FIRST_REQUEST_GRACE).await;
+    }
+
+    /// Why the connection closes after hyper is done with it.
+    fn library_ended(&self, result: hyper::Result<()>, stream: &TcpStream) -> CloseReason {
+        if let Err(error) = &result {
+            log::debug!("http: connection ended: {error}");
+        }
+        if self.state.speaks_http2() {
+            log::info!("http: HTTP/2 on the port of HTTP/1.1");
+            let written = stream.try_write(&http1_required_frames());
+            log::debug!("http: HTTP_1_1_REQUIRED sent, result={written:?}");
         }
+        let answer_broken = result.is_err_and(|error| error.is_user());
+        if answer_broken { CloseReason::AnswerBroken } else { CloseReason::Done }
     }
 }
--- /dev/null
+++ b/src/frontend/http2/frame_guard.rs
@@ -0,0 +1,134 @@
+//! Inspects a connection's frames before the library gets them, and ends a connection that breaks its bounds.
+
+use crate::frontend::closing::SharedStream;
+use flaxgap_streams::abuse::{Kind, Scores};
+use flaxgap_streams::frames::{NotHttp2, Scanner};
+use h2::Reason;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use thiserror::Error;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// What a client did that ends its connection.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub(super) enum Violation {
+    #[error(transparent)]
+    NotHttp2(#[from] NotHttp2),
+    #[error("too many {0}")]
+    Flood(Kind),
+    #[error("a frame of type {kind} with {length} bytes")]
+    FrameSize { kind: u8, length: u32 },
+}
+
+impl Violation {
+    /// The error code of the GOAWAY.
+    pub(super) fn reason(self) -> Reason {
+        match self {
+            Violation::NotHttp2(_) => Reason::PROTOCOL_ERROR,
+            Violation::Flood(_) => Reason::ENHANCE_YOUR_CALM,
+            Violation::FrameSize { .. } => Reason::FRAME_SIZE_ERROR,
+        }
+    }
+}
+
+/// Inspects the frames of a connection, for its reader and its task.
+pub(super) struct FrameGuard {
+    scanner: RefCell<Scanner>,
+    scores: RefCell<Scores>,
+    opened_at: Instant,
+    violation: Cell<Option<Violation>>,
+    violated: Notify,
+}
+
+impl FrameGuard {
+    /// For a connection that opened at `opened_at`, with the scores it begins with.
+    pub(super) fn new(scores: Scores, opened_at: Instant) -> Rc<FrameGuard> {
+        Rc::new(FrameGuard {
+            scanner: RefCell::default(),
+            scores: RefCell::new(scores),
+            opened_at,
+            violation: Cell::new(None),
+            violated: Notify::new(),
+        })
+    }
+
+    /// Inspects bytes that have arrived. Returns how many of them the library may have: nothing from a frame on that
+    /// ends the connection.
+    fn inspect(&self, bytes: &[u8]) -> usize {
+        if self.violation.get().is_some() {
+            return 0;
+        }
+        let now = self.opened_at.elapsed().as_secs_f64();
+        let mut scores = self.scores.borrow_mut();
+        let mut violation = None;
+        let scanned = self.scanner.borrow_mut().take(bytes, |head| {
+            let flood = scores.count(now, &head).map(Violation::Flood);
+            let frame_size = Violation::FrameSize { kind: head.kind, length: head.length };
+            violation = if head.fits() { flood } else { Some(frame_size) };
+            violation.is_none()
+        });
+        let allowed = match scanned {
+            Ok(allowed) => allowed,
+            Err(error) => {
+                violation = Some(error.into());
+                0
+            }
+        };
+        if violation.is_some() {
+            self.violation.set(violation);
+            self.violated.notify_one();
+        }
+        allowed
+    }
+
+    /// Waits for a violation.
+    pub(super) async fn violation(&self) -> Violation {
+        loop {
+            if let Some(violation) = self.violation.get() {
+                return violation;
+            }
+            self.violated.notified().await;
+        }
+    }
+}
+
+/// A connection whose frames are inspected as they arrive.
+pub(super) struct InspectedStream {
+    pub(super) stream: SharedStream,
+    pub(super) guard: Rc<FrameGuard>,
+}
+
+impl AsyncRead for InspectedStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let filled_before = buf.filled().len();
+        ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
+        let received = buf.filled().len() - filled_before;
+        let allowed = self.guard.inspect(&buf.filled()[filled_before..]);
+        buf.set_filled(filled_before + allowed);
+        // The connection's task is notified; to the library nothing more arrives, which is not the end.
+        if received > 0 && allowed == 0 { Poll::Pending } else { Poll::Ready(Ok(())) }
+    }
+}
+
+impl AsyncWrite for InspectedStream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_write(cx, buf)
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+}
--- /dev/null
+++ b/src/frontend/http2/stream.rs
@@ -0,0 +1,192 @@
+//! One stream: its request, and its answer as fast as the client takes it.
+
+use super::Http2Frontend;
+use super::request_body::RequestBody;
+use crate::core::{Transport, seconds};
+use crate::frontend::request::ResponseBody;
+use bytes::{Buf, Bytes};
+use flaxgap_streams::admission::Connection;
+use h2::server::SendResponse;
+use h2::{Reason, RecvStream, SendStream};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Frame};
+use hyper::header::{CONTENT_LENGTH, EXPECT, HOST, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::{Request, Response, StatusCode};
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+/// How long a request's body may take beyond its pace, as on the HTTP/1.1 frontend.
+const BODY_GRACE: Duration = Duration::from_millis(2500);
+
+/// Why a stream's answer was not sent completely.
+#[derive(Debug, Error)]
+enum StreamError {
+    #[error("reset by its client")]
+    Reset,
+    #[error("its client takes nothing")]
+    Stalled,
+    #[error("the node's answer broke off")]
+    AnswerIncomplete,
+    #[error("{0}")]
+    Protocol(#[from] h2::Error),
+}
+
+/// A stream's admission, given back when dropped; its connection's task is notified.
+struct AdmittedStream<T> {
+    frontend: Rc<Http2Frontend<T>>,
+    connection: Connection,
+    ended: mpsc::UnboundedSender<()>,
+}
+
+impl<T> Drop for AdmittedStream<T> {
+    fn drop(&mut self) {
+        self.frontend.admission.borrow_mut().close(self.connection);
+        // The connection may have ended before.
+        let _ = self.ended.send(());
+    }
+}
+
+/// Admits a stream and serves it in a task of its own, or refuses it before anything of it is processed; whether it is
+/// admitted. `ended` gets a message at its end.
+pub(super) fn admit<T: Transport + 'static>(
+    frontend: &Rc<Http2Frontend<T>>,
+    connection: Connection,
+    request: Request<RecvStream>,
+    mut respond: SendResponse<Bytes>,
+    ended: &mpsc::UnboundedSender<()>,
+) -> bool {
+    let counters = &frontend.context.counters;
+    let opened = frontend.admission.borrow_mut().open(connection);
+    if let Err(reason) = opened {
+        counters.http2_refused.add();
+        log::debug!("http2: stream refused: {reason:?}");
+        respond.send_reset(Reason::REFUSED_STREAM);
+        return false;
+    }
+    counters.http2_streams.add();
+    let admitted = AdmittedStream { frontend: frontend.clone(), connection, ended: ended.clone() };
+    tokio::task::spawn_local(async move {
+        let frontend = &admitted.frontend;
+        let counters = &frontend.context.counters;
+        match serve(frontend, request, &mut respond).await {
+            Ok(()) => {}
+            Err(StreamError::Reset) => counters.http2_resets.add(),
+            Err(error) => {
+                if matches!(error, StreamError::Stalled) {
+                    counters.http2_stalled.add();
+                }
+                log::debug!("http2: stream: {error}");
+            }
+        }
+    });
+    true
+}
+
+/// Serves a stream, from its head to the last byte of its answer. A reset drops all of it, and with it the attempt at
+/// the node.
+async fn serve<T: Transport + 'static>(
+    frontend: &Http2Frontend<T>,
+    request: Request<RecvStream>,
+    respond: &mut SendResponse<Bytes>,
+) -> Result<(), StreamError> {
+    let (head, body) = request.into_parts();
+    if expects_continue(&head) && !body.is_end_stream() {
+        let mut go_on = Response::new(());
+        *go_on.status_mut() = StatusCode::CONTINUE;
+        respond.send_informational(go_on)?;
+    }
+    let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse().ok());
+    let authority_ambiguous = !has_one_authority(&head);
+    let request = Request::from_parts(head, RequestBody::new(body, length));
+    let response = tokio::select! {
+        biased;
+        _ = poll_fn(|cx| respond.poll_reset(cx)) => return Err(StreamError::Reset),
+        response = frontend.context.answer(request, BODY_GRACE, authority_ambiguous, None) => response,
+    };
+    let (mut head, mut body) = response.into_parts();
+    if let Some(length) = body.size_hint().exact() {
+        head.headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
+    }
+    let is_empty = body.is_end_stream();
+    let mut send = respond.send_response(Response::from_parts(head, ()), is_empty)?;
+    if !is_empty {
+        let stall_timeout = seconds(frontend.settings.stall);
+        send_body(&mut body, &mut send, stall_timeout).await?;
+    }
+    Ok(())
+}
+
+fn expects_continue(head: &Parts) -> bool {
+    head.headers.get(EXPECT).is_some_and(|expects| expects == "100-continue")
+}
+
+/// `:authority` and `host` name one authority if both are there (RFC 9113, section 8.3.1).
+fn has_one_authority(head: &Parts) -> bool {
+    let mut hosts = head.headers.get_all(HOST).iter();
+    match (head.uri.authority(), hosts.next(), hosts.next()) {
+        (Some(authority), Some(host), None) => {
+            host.as_bytes().eq_ignore_ascii_case(authority.as_str().as_bytes())
+        }
+        (_, _, Some(_)) => false,
+        _ => true,
+    }
+}
+
+/// Sends an answer's body to its end.
+async fn send_body(
+    body: &mut ResponseBody,
+    send: &mut SendStream<Bytes>,
+    stall_timeout: Duration,
+) -> Result<(), StreamError> {
+    loop {
+        let frame = tokio::select! {
+            biased;
+            _ = poll_fn(|cx| send.poll_reset(cx)) => return Err(StreamError::Reset),
+            frame = body.frame() => frame,
+        };
+        match frame.map(|frame| frame.map(Frame::into_data)) {
+            Some(Ok(Ok(data))) => send_data(data, send, stall_timeout).await?,
+            // Trailers are not forwarded.
+            Some(Ok(Err(_))) => {}
+            Some(Err(_)) => {
+                send.send_reset(Reason::INTERNAL_ERROR);
+                return Err(StreamError::AnswerIncomplete);
+            }
+            None => {
+                send.send_data(Bytes::new(), true)?;
+                return Ok(());
+            }
+        }
+    }
+}
+
+/// Sends bytes as the client's flow-control window allows.
+async fn send_data(
+    mut data: Bytes,
+    send: &mut SendStream<Bytes>,
+    stall_timeout: Duration,
+) -> Result<(), StreamError> {
+    while data.has_remaining() {
+        send.reserve_capacity(data.len());
+        // A reset comes first, whatever capacity there is.
+        let capacity = poll_fn(|cx| match send.poll_reset(cx) {
+            Poll::Ready(_) => Poll::Ready(Err(StreamError::Reset)),
+            Poll::Pending => send.poll_capacity(cx).map(Ok),
+        });
+        let Ok(capacity) = timeout(stall_timeout, capacity).await else {
+            send.send_reset(Reason::CANCEL);
+            return Err(StreamError::Stalled);
+        };
+        let capacity = capacity?.transpose()?.unwrap_or(0).min(data.len());
+        if capacity > 0 {
+            send.send_data(data.split_to(capacity), false)?;
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/frontend/request/response.rs
@@ -0,0 +1,130 @@
+//! Answers as HTTP responses, and their bodies.
+
+use crate::core::Answer;
+use crate::core::content::{ByteStream, IncompleteBody, StreamedBody};
+use crate::metrics::counters::{FinalOutcome, InFlightRequest};
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+
+/// The body of an answer: buffered, or forwarded as it arrives. Its request is settled at its end.
+pub struct ResponseBody {
+    buffered: Option<Bytes>,
+    rest: Option<ByteStream>,
+    /// Bytes that are left, if the length is known.
+    left: Option<u64>,
+    request: Option<InFlightRequest>,
+    on_end: Option<Box<dyn FnOnce()>>,
+}
+
+impl ResponseBody {
+    /// The body of an answer to a request, or of one that is no request's (`None`).
+    fn new(content: StreamedBody, request: Option<InFlightRequest>) -> ResponseBody {
+        let StreamedBody { buffered, rest, length } = content;
+        let buffered = Some(buffered).filter(|buffered| !buffered.is_empty());
+        let body = ResponseBody { buffered, rest, left: length, request, on_end: None };
+        if body.rest.is_none() {
+            body.settle(FinalOutcome::Served);
+        }
+        body
+    }
+
+    /// Has `on_end` called when the body is dropped, complete or not.
+    pub fn on_end(&mut self, on_end: impl FnOnce() + 'static) {
+        self.on_end = Some(Box::new(on_end));
+    }
+
+    fn settle(&self, outcome: FinalOutcome) {
+        if let Some(request) = &self.request {
+            request.settle(outcome);
+        }
+    }
+
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
+        if let Some(buffered) = self.buffered.take() {
+            return Poll::Ready(Some(Ok(buffered)));
+        }
+        match &mut self.rest {
+            Some(rest) => rest.as_mut().poll_next(cx),
+            None => Poll::Ready(None),
+        }
+    }
+
+    /// Counts a chunk, or the end, and settles the request if it is the last.
+    fn chunk_sent(&mut self, chunk: Option<&Result<Bytes, IncompleteBody>>) {
+        match chunk {
+            Some(Ok(bytes)) => {
+                self.left = self.left.map(|left| left.saturating_sub(bytes.len() as u64));
+                if self.left == Some(0) {
+                    self.settle(FinalOutcome::Served);
+                }
+            }
+            // The client can tell by the length or the chunks, and by the connection's end.
+            Some(Err(error)) => {
+                log::debug!("http: answer incomplete: {error}");
+                self.settle(FinalOutcome::Failed);
+            }
+            None => self.settle(FinalOutcome::Served),
+        }
+    }
+}
+
+impl Drop for ResponseBody {
+    fn drop(&mut self) {
+        if let Some(on_end) = self.on_end.take() {
+            on_end();
+        }
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = IncompleteBody;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
+        let chunk = ready!(self.poll_chunk(cx));
+        self.chunk_sent(chunk.as_ref());
+        Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.buffered.is_none() && self.rest.is_none()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+    }
+}
+
+/// A response with a text of the head's own.
+pub(super) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::new(text.into().into(), None));
+    *response.status_mut() = status;
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response
+}
+
+/// The response that gives the core's answer.
+pub(super) fn from_answer(answer: Answer) -> Response<ResponseBody> {
+    match answer {
+        Answer::Served(content, request) => Response::new(ResponseBody::new(content, Some(request))),
+        Answer::Rejected { retry_after_s } => rejected(retry_after_s),
+        Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+    }
+}
+
+fn rejected(retry_after_s: f64) -> Response<ResponseBody> {
+    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused, come again\n");
+    if retry_after_s > 0.0 {
+        if let Ok(value) = HeaderValue::from_str(&format!("{retry_after_s:.3}")) {
+            response.headers_mut().insert(RETRY_AFTER, value);
+        }
+    }
+    response
+}
--- a/tests/peers/stand.rs
+++ b/tests/peers/stand.rs
@@ -43,7 +43,7 @@
         );
         let dispatcher = Dispatcher::new(settings, 1, Clock::start(), counters.clone()).expect("served");
         let front = Rc::new(HttpFrontend {
-            desk: Rc::new(FrontendContext {
+            context: Rc::new(FrontendContext {
                 dispatcher: dispatcher.clone(),
                 transport: nodes.clone(),
                 notes,
--- a/tests/scenarios_bodies.rs
+++ b/tests/scenarios_bodies.rs
@@ -1,4 +1,4 @@
-//! Long bodies, slow peers and all forms of HTTP/1.1.
+//! Streamed bodies, slow clients and nodes, and all forms of HTTP/1.1 framing.
 
 mod peers;
 use peers::*;
@@ -6,31 +6,31 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-fn one(brick: &Brick) -> (Discovery, Head) {
-    let discovery = Discovery::start(&[entry("s-1", brick.address, 0, "ready")]);
+fn head_with_node(node: &Brick) -> (Discovery, Head) {
+    let discovery = Discovery::start(&[entry("s-1", node.address, 0, "ready")]);
     let head = Head::start(&discovery, None, &[]);
     (discovery, head)
 }
 
-fn read() -> String {
+fn read_request() -> String {
     Client::request("play-fetch", "network", 1, 1.0, 0)
 }
 
-fn write(length: usize) -> String {
+fn write_request(length: usize) -> String {
     Client::request("episode-save", "network", 1, 2.0, length)
 }
 
-fn text(length: usize) -> Vec<u8> {
+fn body_of(length: usize) -> Vec<u8> {
     (0..length).map(|place| b'a' + (place % 23) as u8).collect()
 }
 
-/// Guards against holding long answers back, against cutting them off at the deadline while the node still
-/// gives, and against a break that looks like an end or is tried again.
+/// Guards against buffering long responses, against cutting them off at the deadline while the node still sends, and
+/// against a break that looks like an end or is retried.
 #[test]
-fn a_long_answer_passes_on_as_it_comes_and_a_break_in_it_shows() {
-    let (go, body) = (Arc::new(Barrier::new(2)), text(1 << 20));
+fn a_long_response_is_streamed_and_a_break_in_it_is_visible() {
+    let (go, body) = (Arc::new(Barrier::new(2)), body_of(1 << 20));
     let (held, long) = (go.clone(), body.clone());
-    let brick = Brick::start(move |number, _| {
+    let node = Brick::start(move |number, _| {
         let head = match number {
             0 | 2 => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", long.len()),
             _ => "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".into(),
@@ -39,10 +39,10 @@
         let rest = if number == 2 { &rest[1..] } else { rest };
         Step::Held([head.as_bytes(), first].concat(), held.clone(), rest.to_vec())
     });
-    let (_discovery, head) = one(&brick);
+    let (_discovery, head) = head_with_node(&node);
     for form in ["content-length: 1048576", "transfer-encoding: chunked"] {
         let mut client = Client::new(head.http);
-        client.send(&read(), b"");
+        client.send(&read_request(), b"");
         let start = String::from_utf8(client.bytes(400)).expect("text");
         assert!(start.starts_with("HTTP/1.1 200 OK\r\n") && start.contains(form), "{start}");
         sleep(Duration::from_millis(1100)); // the deadline passes
@@ -54,29 +54,29 @@
         );
     }
     let mut client = Client::new(head.http);
-    client.send(&read(), b"");
+    client.send(&read_request(), b"");
     go.wait();
     assert!(client.answer().is_none(), "one byte is missing, and the client can tell");
-    assert_eq!((brick.seen().len(), head.counter("served"), head.counter("failed")), (3, 2, 1));
+    assert_eq!((node.seen().len(), head.counter("served"), head.counter("failed")), (3, 2, 1));
 }
 
-/// Guards against holding long uploads, against a repeat of what was not held, and against taking a slow client
+/// Guards against buffering long uploads, against a retry of what was not buffered, and against taking a slow client
 /// for a dead one or a stalled one for slow.
 #[test]
-fn a_long_upload_passes_on_once_and_time_goes_by_pace() {
-    let brick = Brick::start(|number, m| match number {
+fn a_long_upload_is_streamed_once_and_timed_by_its_pace() {
+    let node = Brick::start(|number, m| match number {
         0 => Step::Serve(m.body.len().to_string().into()),
         _ => Step::Status(503, true),
     });
-    let (_discovery, head) = one(&brick);
-    let body = text(1 << 20);
+    let (_discovery, head) = head_with_node(&node);
+    let body = body_of(1 << 20);
     let mut client = Client::new(head.http);
-    assert_eq!(client.ask(&write(body.len()), &body).body, b"1048576");
-    assert_eq!(brick.seen()[0].body, body);
-    let refused = Client::new(head.http).ask(&write(body.len()), &body);
-    assert_eq!((refused.status(), brick.seen().len()), (503, 2), "it never ran, and can't go again");
+    assert_eq!(client.ask(&write_request(body.len()), &body).body, b"1048576");
+    assert_eq!(node.seen()[0].body, body);
+    let refused = Client::new(head.http).ask(&write_request(body.len()), &body);
+    assert_eq!((refused.status(), node.seen().len()), (503, 2), "it never ran, and can't go again");
     let mut slow = Client::new(head.http);
-    let (whole, piece) = (write(130_000), text(13_000));
+    let (whole, piece) = (write_request(130_000), body_of(13_000));
     let (start, end) = whole.split_at(40);
     slow.send(start, b"");
     sleep(Duration::from_millis(500));
@@ -86,16 +86,16 @@
         slow.send("", &piece);
     }
     assert_eq!(slow.answer().expect("an answer").status(), 503);
-    assert_eq!(brick.seen()[2].body.len(), 130_000, "slow, but all of it");
+    assert_eq!(node.seen()[2].body.len(), 130_000, "slow, but all of it");
     let mut stalled = Client::new(head.http);
-    stalled.send(&write(130_000), &piece);
+    stalled.send(&write_request(130_000), &piece);
     assert_eq!(stalled.answer().expect("an answer").status(), 408);
 }
 
-/// Guards against forms of HTTP/1.1 that are read wrong: what follows a chunked body is a request of its own.
+/// Guards against misreading a form of HTTP/1.1: what follows a chunked body is a request of its own.
 #[test]
-fn all_forms_of_requests_and_answers_are_understood() {
-    let brick = Brick::start(|_, m| {
+fn all_forms_of_requests_and_responses_are_understood() {
+    let node = Brick::start(|_, m| {
         match m.line.contains("ends") {
         true => Step::Raw(b"HTTP/1.1 200 OK\r\nConnection: x, close\r\n\r\n".to_vec()),
         false => Step::Raw(
@@ -105,24 +105,25 @@
         ),
     }
     });
-    let (_discovery, head) = one(&brick);
-    let chunked =
-        |expect: &str| write(0).replace("Content-Length: 0", &format!("{expect}Transfer-Encoding: chunked"));
+    let (_discovery, head) = head_with_node(&node);
+    let chunked = |expect: &str| {
+        write_request(0).replace("Content-Length: 0", &format!("{expect}Transfer-Encoding: chunked"))
+    };
     let body = "3;x=y\r\nabc\r\n2 ; z\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\n";
-    let absolute = read().replacen("GET /", "GET http://origin.svc/", 1);
+    let absolute = read_request().replacen("GET /", "GET http://origin.svc/", 1);
     let mut client = Client::new(head.http);
-    client.send(&format!("{}{body}{absolute}{}", chunked(""), read()), b"");
+    client.send(&format!("{}{body}{absolute}{}", chunked(""), read_request()), b"");
     let answers: Vec<_> = (0..3).map(|_| client.answer().expect("an answer").body).collect();
     assert_eq!(answers, [&b"abcde"[..], b"-", b"-"], "three requests in one go");
-    assert!(brick.seen()[1].line.starts_with("GET /play-fetch/"));
+    assert!(node.seen()[1].line.starts_with("GET /play-fetch/"));
     client.send(&chunked("Expect: 100-continue\r\n"), b"");
     assert_eq!(client.answer().expect("a go-ahead").status(), 100);
     client.send(body, b"");
     assert_eq!(client.answer().expect("an answer").body, b"abcde");
     let hidden = chunked("")
         + "0\r\n\r\n"
-        + &write(0).replace("Content-Length: 0", "Content-Length: 3\r\nTransfer-Encoding: chunked");
+        + &write_request(0).replace("Content-Length: 0", "Content-Length: 3\r\nTransfer-Encoding: chunked");
     client.send(&hidden, b"0\r\n\r\n");
     assert_eq!([client.answer(), client.answer()].map(|a| a.expect("an answer").status()), [200, 400]);
-    assert_eq!(brick.seen().len(), 5, "a doubtful one after a chunked one goes nowhere");
+    assert_eq!(node.seen().len(), 5, "a doubtful one after a chunked one goes nowhere");
 }
--- a/tests/scenarios_http.rs
+++ b/tests/scenarios_http.rs
@@ -196,7 +196,7 @@
         let budget = descriptors::DescriptorBudget::new(100, counters.clone());
         let (phases, memory) = (Rc::new(lifecycle::Lifecycle::default()), BodyMemory::new(32));
         let front = Rc::new(HttpFrontend {
-            desk: Rc::new(request::FrontendContext {
+            context: Rc::new(request::FrontendContext {
                 dispatcher: core::Dispatcher::new(settings, 1, core::Clock::start(), counters.clone())
                     .expect("served"),
                 transport: NodeTransport::new(
--- a/tests/scenarios_leaving.rs
+++ b/tests/scenarios_leaving.rs
@@ -1,5 +1,5 @@
-//! Nothing new to a node that leaves: the ways by which news of it could come too late, each brought about with the
-//! program as it runs.
+//! Nothing new goes to a node that drains: each way by which the update could arrive too late, brought about with the
+//! real program.
 
 mod peers;
 use peers::*;
@@ -7,58 +7,59 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-fn read() -> String {
+fn read_request() -> String {
     Client::request("play-fetch", "network", 1, 2.0, 0)
 }
 
-fn brick(name: &'static str) -> Brick {
+fn node(name: &'static str) -> Brick {
     Brick::start(move |_, _| Step::Serve(name.into()))
 }
 
-fn after(millis: u64, lines: Vec<String>) -> Vec<Say> {
+fn lines_after(millis: u64, lines: Vec<String>) -> Vec<Say> {
     let pause = Say::Pause(Duration::from_millis(millis));
     std::iter::once(pause).chain(lines.into_iter().map(Say::Line)).collect()
 }
 
-/// Given a list of an earlier life and an agent that is slow, when the head goes into service, then nothing goes to a
-/// node that the agent holds as leaving.
+/// Given a list that was cached by an earlier process and a slow agent, when the head goes into service, then nothing
+/// goes to a node that drains by the agent's list.
 #[test]
-fn a_head_that_starts_waits_for_an_agent_that_is_slow() {
+fn a_starting_head_waits_for_a_slow_agent() {
     for millis in [0, 300, 800] {
-        let (old, new) = (brick("old"), brick("new"));
+        let (old, new) = (node("old"), node("new"));
         let held = [entry("s-1", old.address, 0, "draining"), entry("s-2", new.address, 0, "ready")];
-        let agent = Agent::start(move |_, _| after(millis, vec![list(2, false, &held)]));
+        let agent = Agent::start(move |_, _| lines_after(millis, vec![list(2, false, &held)]));
         let known = list(1, true, &[entry("s-1", old.address, 0, "ready")]);
         let head = Head::start_text(&config_at(agent.address, 1024, &known), None, &[]);
         let mut client = Client::new(head.http);
         for _ in 0..3 {
-            assert_eq!(client.ask(&read(), b"").body, b"new", "an agent that takes {millis} ms");
+            assert_eq!(client.ask(&read_request(), b"").body, b"new", "an agent that takes {millis} ms");
         }
         assert_eq!((old.seen().len(), head.logged("earlier life")), (0, None));
     }
 }
 
-/// Given an agent that answers no call, or a call but no list, when the head has waited for two calls, then it serves.
+/// Given an agent that does not respond, or responds without a list, when the head has waited for two polls, then it
+/// serves with its cached list.
 #[test]
-fn a_head_whose_agent_stays_silent_serves_in_the_end() {
+fn a_head_whose_agent_stays_silent_serves_with_its_cached_list() {
     for says in [|| vec![Say::Hold], || vec![Say::Raw(vec![]), Say::Hold]] {
-        let known = brick("known");
+        let known = node("known");
         let agent = Agent::start(move |_, _| says());
         let list = list(1, true, &[entry("s-1", known.address, 0, "ready")]);
         let started = Instant::now();
         let head = Head::start_text(&config_at(agent.address, 1024, &list), None, &[]);
         assert!(started.elapsed() >= Duration::from_secs(2), "it waits for its agent");
         wait(|| head.logged("in service with the list of an earlier life"));
-        assert_eq!(Client::new(head.http).ask(&read(), b"").body, b"known");
+        assert_eq!(Client::new(head.http).ask(&read_request(), b"").body, b"known");
     }
 }
 
-/// Given an agent that is behind the list of the earlier life, whole or by its changes, when it tells again what is
-/// past, then a node that the earlier life knew to leave gets nothing until a newer word.
+/// Given an agent that is behind the cached list, when it sends a complete list or changes of older versions, then a
+/// node that drains by the cached list gets nothing until a newer version says otherwise.
 #[test]
-fn an_agent_that_is_behind_the_earlier_life_brings_no_leaving_node_back() {
+fn an_agent_behind_the_cached_list_brings_no_draining_node_back() {
     for whole in [true, false] {
-        let (old, new) = (brick("old"), brick("new"));
+        let (old, new) = (node("old"), node("new"));
         let known =
             list(5, true, &[entry("s-1", old.address, 0, "draining"), entry("s-2", new.address, 1, "ready")]);
         let back = [entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 1, "ready")];
@@ -69,26 +70,26 @@
                 assert!(line.contains("since=5"), "{line}");
                 vec![Say::Line(list(3, whole, &back)), Say::Hold]
             }
-            _ if caught_up.load(Ordering::SeqCst) => after(0, vec![list(6, false, &back[..1])]),
+            _ if caught_up.load(Ordering::SeqCst) => lines_after(0, vec![list(6, false, &back[..1])]),
             _ => vec![Say::Line(list(4, false, &back[..1])), Say::Hold],
         });
         let head = Head::start_text(&config_at(agent.address, 1024, &known), None, &[]);
         let mut client = Client::new(head.http);
-        assert_eq!(client.ask(&read().replace("shard=0", "shard=1"), b"").body, b"new");
-        assert_ne!(client.ask(&read(), b"").status(), 200);
+        assert_eq!(client.ask(&read_request().replace("shard=0", "shard=1"), b"").body, b"new");
+        assert_ne!(client.ask(&read_request(), b"").status(), 200);
         wait(|| (head.counter("list_changes") >= 3).then_some(()));
-        assert_ne!(Client::new(head.http).ask(&read(), b"").status(), 200);
+        assert_ne!(Client::new(head.http).ask(&read_request(), b"").status(), 200);
         assert_eq!(old.seen().len(), 0, "whole: {whole}");
         go.store(true, Ordering::SeqCst);
-        wait(|| (Client::new(head.http).ask(&read(), b"").body == b"old").then_some(()));
+        wait(|| (Client::new(head.http).ask(&read_request(), b"").body == b"old").then_some(()));
     }
 }
 
-/// Given a source that SIGHUP names and that counts its versions anew, when it stands in the end, then a node that the
-/// old one told to drain still gets nothing.
+/// Given a reload (SIGHUP) that names a source whose versions begin anew, when the head has moved to it, then a node
+/// that the old source drained still gets nothing.
 #[test]
-fn a_source_that_counts_anew_brings_no_drained_node_back() {
-    let (old, new) = (brick("old"), brick("new"));
+fn a_source_with_lower_versions_brings_no_drained_node_back() {
+    let (old, new) = (node("old"), node("new"));
     let before = Discovery::start(&[entry("s-1", old.address, 0, "ready")]);
     let head = Head::start(&before, None, &[]);
     before.push(&[entry("s-1", old.address, 0, "draining")]);
@@ -99,20 +100,20 @@
     wait(|| head.logged("is at version 1, behind 2"));
     wait(|| head.logged("now at"));
     let mut client = Client::new(head.http);
-    wait(|| (client.ask(&read().replace("shard=0", "shard=1"), b"").body == b"new").then_some(()));
-    assert_ne!(client.ask(&read(), b"").status(), 200);
+    wait(|| (client.ask(&read_request().replace("shard=0", "shard=1"), b"").body == b"new").then_some(()));
+    assert_ne!(client.ask(&read_request(), b"").status(), 200);
     assert_eq!(old.seen().len(), 0);
     // Its own word that the node drained and is back is a newer one.
     anew.push(&[entry("s-1", old.address, 0, "draining")]);
     anew.push(&[entry("s-1", old.address, 0, "ready")]);
-    wait(|| (client.ask(&read(), b"").body == b"old").then_some(()));
+    wait(|| (client.ask(&read_request(), b"").body == b"old").then_some(()));
 }
 
-/// Given a line with entries that can't be read, or a line that is none at all, when it tells a drain as well, then the
-/// drain counts, the place is logged, and the line is not asked for again and again.
+/// Given an update with malformed entries, or one that is no JSON, when it drains a node as well, then the drain
+/// counts, the malformed entry is logged, and the update is not requested again and again.
 #[test]
-fn what_cant_be_read_of_a_list_costs_no_drain() {
-    let (old, new) = (brick("old"), brick("new"));
+fn a_malformed_list_costs_no_drain() {
+    let (old, new) = (node("old"), node("new"));
     let ready = [entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 0, "ready")];
     let drain = entry("s-1", old.address, 0, "draining");
     let bad = format!(r#"{{"uid":"s-2","endpoint":null,"pod_group":"x","state":"ready"}},{drain}"#);
@@ -121,16 +122,16 @@
         let (first, last, readable) = (first.clone(), last.clone(), line.ends_with("]}"));
         let agent = Agent::start(move |number, call| match (number, call.contains("follow")) {
             (0, _) => vec![Say::Line(first.clone())],
-            (_, true) if call.contains("since=1 ") => after(0, vec![line.clone()]),
+            (_, true) if call.contains("since=1 ") => lines_after(0, vec![line.clone()]),
             (_, true) => vec![],
             (_, false) => vec![Say::Line(last.clone())],
         });
         let head = Head::start_text(&config_at(agent.address, 1024, "null"), None, &[]);
         let mut client = Client::new(head.http);
-        wait(|| (client.ask(&read(), b"").body == b"new").then_some(()));
+        wait(|| (client.ask(&read_request(), b"").body == b"new").then_some(()));
         let seen = old.seen().len();
         std::thread::sleep(Duration::from_millis(1500));
-        assert_eq!(client.ask(&read(), b"").body, b"new");
+        assert_eq!(client.ask(&read_request(), b"").body, b"new");
         assert_eq!(old.seen().len(), seen);
         let logged =
             if readable { "version 2, entry 0 (s-2): endpoint: null" } else { "a list that does not end" };
@@ -149,10 +150,10 @@
     serde_json::to_string_pretty(&value).expect("a text")
 }
 
-/// Given lists that come indented, whole and on a watch, when one tells a drain, then it counts.
+/// Given indented lists, complete and on a watch, when one drains a node, then the drain counts.
 #[test]
-fn a_list_over_many_lines_is_one_word() {
-    let (old, new) = (brick("old"), brick("new"));
+fn a_list_over_many_lines_is_one_update() {
+    let (old, new) = (node("old"), node("new"));
     let ready = [entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 0, "ready")];
     let (whole, none) = (indented(&list(1, true, &ready)), indented(&list(1, false, &[])));
     let drain = indented(&list(2, false, &[entry("s-1", old.address, 0, "draining")]));
@@ -165,15 +166,15 @@
     let head = Head::start_text(&config_at(agent.address, 1024, "null"), None, &[]);
     wait(|| head.logged("version 2, 1 entries"));
     for _ in 0..3 {
-        assert_eq!(Client::new(head.http).ask(&read(), b"").body, b"new");
+        assert_eq!(Client::new(head.http).ask(&read_request(), b"").body, b"new");
     }
     assert_eq!((old.seen().len(), head.counter("bad_input")), (0, 0));
 }
 
-/// Given a watch that is cut in the middle of a line, when the head asks again, then it has the drain at once.
+/// Given a watch that is cut in the middle of a line, when the head opens another, then it has the drain at once.
 #[test]
-fn a_watch_cut_in_the_middle_of_a_line_is_taken_up_at_once() {
-    let (old, new) = (brick("old"), brick("new"));
+fn a_watch_cut_in_the_middle_of_a_line_is_reopened_at_once() {
+    let (old, new) = (node("old"), node("new"));
     let ready =
         list(1, true, &[entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 1, "ready")]);
     let drain = list(2, false, &[entry("s-1", old.address, 0, "draining")]);
@@ -183,44 +184,45 @@
         false => vec![Say::Line(ready.clone())],
         true if started.elapsed() < Duration::from_millis(300) => vec![Say::Raw(b"1\r\n\n\r\n".to_vec())],
         true if !was_cut.swap(true, Ordering::SeqCst) => vec![Say::Raw(cut.clone()), Say::Close],
-        true => after(0, vec![drain.clone()]),
+        true => lines_after(0, vec![drain.clone()]),
     });
     let head = Head::start_text(&config_at(agent.address, 1024, "null"), None, &[]);
     wait(|| head.logged("call ended: exchange"));
     let broken = Instant::now();
     wait(|| head.logged("version 2, 1 entries"));
     assert!(broken.elapsed() < Duration::from_millis(250), "{:?}", broken.elapsed());
-    assert_ne!(Client::new(head.http).ask(&read(), b"").status(), 200);
+    assert_ne!(Client::new(head.http).ask(&read_request(), b"").status(), 200);
     assert_eq!(old.seen().len(), 0);
 }
 
-/// Given a head that was told to end, when a node drains while it answers what it has, then it sends it nothing more.
+/// Given a head that shuts down, when a node drains while the head answers what it has, then the head sends it
+/// nothing more.
 #[test]
-fn a_head_that_ends_keeps_to_the_list_to_its_last_send() {
-    let (old, new) = (brick("old"), brick("new"));
+fn a_head_that_shuts_down_follows_the_list_to_its_last_send() {
+    let (old, new) = (node("old"), node("new"));
     let discovery = Discovery::start(&[entry("s-1", old.address, 0, "ready")]);
     let mut head = Head::start(&discovery, None, &[]);
     let mut client = Client::new(head.http);
-    assert_eq!(client.ask(&read(), b"").body, b"old");
+    assert_eq!(client.ask(&read_request(), b"").body, b"old");
     head.signal("-TERM");
     wait(|| head.logged("daemon: Draining"));
     discovery.push(&[entry("s-1", old.address, 0, "draining"), entry("s-2", new.address, 0, "ready")]);
     wait(|| head.logged("version 2, 2 entries"));
-    assert_eq!(client.ask(&read(), b"").body, b"new");
+    assert_eq!(client.ask(&read_request(), b"").body, b"new");
     assert_eq!(old.seen().len(), 1);
     drop(client);
     assert!(head.ended());
 }
 
 /// Given a node that holds another shard than before, or is gone by an entry that names none, when requests come for
-/// the shard that it had, then they are held for another, not tried at it three times.
+/// the shard that it had, then they wait for another node and are not tried at it three times.
 #[test]
-fn a_node_that_is_gone_by_a_bare_entry_leaves_its_queue() {
-    let (old, new) = (brick("old"), brick("new"));
+fn a_node_that_is_gone_by_a_bare_entry_leaves_its_shard() {
+    let (old, new) = (node("old"), node("new"));
     let discovery = Discovery::start(&[entry("s-1", old.address, 3, "ready")]);
     let head = Head::start(&discovery, None, &[]);
     let mut client = Client::new(head.http);
-    let at = |shard: u32| read().replace("shard=0", &format!("shard={shard}"));
+    let at = |shard: u32| read_request().replace("shard=0", &format!("shard={shard}"));
     assert_eq!(client.ask(&at(3), b"").body, b"old");
     discovery.push(&[r#"{"uid":"s-1","state":"gone"}"#.into()]);
     wait(|| (head.counter("list_changes") == 2).then_some(()));
@@ -233,12 +235,12 @@
     assert_eq!((old.seen().len(), head.counter("moot")), (1, 0));
 }
 
-/// Given a source that SIGHUP names and that takes its time, or goes away in the middle of its list, when a node drains
-/// meanwhile by the old one's word, then the move brings it back in neither case.
+/// Given a reload (SIGHUP) that names a source that is slow, or disconnects in the middle of its list, when a node
+/// drains by the old source meanwhile, then the move brings it back in neither case.
 #[test]
-fn a_change_during_a_move_counts_and_a_source_that_goes_away_changes_nothing() {
+fn a_drain_during_a_move_counts_and_a_source_that_disconnects_changes_nothing() {
     for goes_away in [true, false] {
-        let (old, new, added) = (brick("old"), brick("new"), brick("added"));
+        let (old, new, added) = (node("old"), node("new"), node("added"));
         let ready = [entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 0, "ready")];
         let before = Discovery::start(&ready);
         let head = Head::start(&before, None, &[]);
@@ -254,7 +256,7 @@
                 Say::Close,
             ],
             // The old source's change comes first.
-            _ => after(800, vec![text.clone()]),
+            _ => lines_after(800, vec![text.clone()]),
         });
         head.reload(&config_at(agent.address, 1024, "null"));
         wait(|| (!agent.asked().is_empty()).then_some(()));
@@ -263,8 +265,8 @@
         let mut client = Client::new(head.http);
         let until = Instant::now() + Duration::from_millis(1200);
         while Instant::now() < until {
-            assert_eq!(client.ask(&read(), b"").body, b"new");
-            let at_added = client.ask(&read().replace("shard=0", "shard=1"), b"");
+            assert_eq!(client.ask(&read_request(), b"").body, b"new");
+            let at_added = client.ask(&read_request().replace("shard=0", "shard=1"), b"");
             assert_eq!(at_added.body, b"added", "what an older list lacks stays");
         }
         assert!(head.logged("is at version 1, behind 2").is_some());
@@ -272,14 +274,15 @@
     }
 }
 
-/// Given requests out at a node, when it moves to another address, is replaced at its own, is gone and comes back, or is
-/// called back by hand while it drains, then what is out is answered, and what is new goes by the last word.
+/// Given requests in flight at a node, when it moves to another address, is replaced at its own, is gone and comes
+/// back, or is included again by an operator while it drains, then what is in flight is answered, and new requests
+/// follow the latest update.
 #[test]
-fn names_and_addresses_that_change_under_requests_are_followed() {
+fn changes_of_names_and_addresses_are_followed_under_requests() {
     let slow = |name: &'static str| {
         Brick::start(move |_, _| Step::After(Duration::from_millis(300), Box::new(Step::Serve(name.into()))))
     };
-    let (first, second) = (slow("first"), brick("second"));
+    let (first, second) = (slow("first"), node("second"));
     let discovery = Discovery::start(&[entry("s-1", first.address, 0, "ready")]);
     let head = Head::start(&discovery, None, &[]);
     let mut changes = 1;
@@ -289,32 +292,32 @@
         wait(|| (head.counter("list_changes") == changes).then_some(()));
     };
     let mut out = Client::new(head.http);
-    out.send(&read(), b"");
+    out.send(&read_request(), b"");
     first.wait_for(1);
     tell(&[entry("s-1", second.address, 0, "ready")]);
     let mut client = Client::new(head.http);
-    assert_eq!(client.ask(&read(), b"").body, b"second", "it moved");
+    assert_eq!(client.ask(&read_request(), b"").body, b"second", "it moved");
     assert_eq!(out.answer().expect("an answer").body, b"first", "what was out stays");
     tell(&[entry("s-1", second.address, 0, "gone")]);
-    assert_ne!(client.ask(&read(), b"").status(), 200);
+    assert_ne!(client.ask(&read_request(), b"").status(), 200);
     tell(&[entry("s-2", second.address, 0, "ready")]);
-    assert_eq!(client.ask(&read(), b"").body, b"second", "another at its address");
+    assert_eq!(client.ask(&read_request(), b"").body, b"second", "another at its address");
     tell(&[entry("s-2", second.address, 0, "draining"), entry("s-1", second.address, 0, "ready")]);
-    assert_eq!(client.ask(&read(), b"").body, b"second", "and it is back, by a newer word");
+    assert_eq!(client.ask(&read_request(), b"").body, b"second", "and it is back, by a newer word");
     assert_eq!(call(head.ops, "PUT", "/ops/bricks/down?host=s-1").0, 200);
     tell(&[entry("s-1", second.address, 0, "draining")]);
     assert_eq!(call(head.ops, "PUT", "/ops/bricks/up?host=s-1").0, 200);
     let seen = second.seen().len();
-    assert_ne!(client.ask(&read(), b"").status(), 200, "called back by hand, it still drains");
+    assert_ne!(client.ask(&read_request(), b"").status(), 200, "called back by hand, it still drains");
     assert_eq!((first.seen().len(), second.seen().len()), (1, seen));
 }
 
-/// Given two processes of one head at a planned restart, when a node drains, then neither sends it anything more: not the
-/// newer one, nor the older one for what broke there and goes out once more.
+/// Given two processes of one head at a planned restart, when a node drains, then neither sends it anything more: not
+/// the newer one, nor the older one for a request that broke there and is retried.
 #[test]
 fn both_processes_of_a_head_keep_a_drain() {
     let old = Brick::start(|_, _| Step::After(Duration::from_millis(800), Box::new(Step::Break)));
-    let new = brick("new");
+    let new = node("new");
     let discovery =
         Discovery::start(&[entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 1, "ready")]);
     let folder = std::env::temp_dir().join(format!("flaxgap-both-{}", std::process::id()));
@@ -322,7 +325,7 @@
     let shared = [("TMPDIR", folder.to_str().expect("a path"))];
     let mut older = Head::start(&discovery, None, &shared);
     let mut out = Client::new(older.http);
-    out.send(&read(), b"");
+    out.send(&read_request(), b"");
     old.wait_for(1);
     let newer = Head::start(&discovery, None, &shared);
     older.signal("-TERM");
@@ -331,7 +334,7 @@
         wait(|| head.logged("version 2, 2 entries"));
     }
     for _ in 0..20 {
-        assert_eq!(Client::new(newer.http).ask(&read(), b"").body, b"new");
+        assert_eq!(Client::new(newer.http).ask(&read_request(), b"").body, b"new");
     }
     assert_eq!(out.answer().expect("an answer").body, b"new", "what broke goes elsewhere");
     assert!(older.ended());
@@ -339,21 +342,21 @@
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
-/// How long after it is told a node that leaves may get something new: the settings' grace and the platform's slack.
+/// How long after the update a draining node may get something new: the settings' grace and the platform's slack.
 const GRACE: Duration = Duration::from_millis(300);
 
-/// A node that notes when requests reached it.
-fn timed(name: &'static str) -> (Brick, Arc<Mutex<Vec<Instant>>>) {
+/// A node that records when requests reached it.
+fn timed_node(name: &'static str) -> (Brick, Arc<Mutex<Vec<Instant>>>) {
     let times: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let noted = times.clone();
-    let brick = Brick::start(move |_, _| {
+    let node = Brick::start(move |_, _| {
         noted.lock().expect("times").push(Instant::now());
         Step::Serve(name.into())
     });
-    (brick, times)
+    (node, times)
 }
 
-/// Asks without a pause over some connections for as long as `work` takes.
+/// Sends requests without a pause over some connections for as long as `work` takes.
 fn under_load<R>(http: std::net::SocketAddr, work: impl FnOnce() -> R) -> R {
     /// Ends the load also where `work` fails.
     struct Over<'a>(&'a AtomicBool);
@@ -368,7 +371,7 @@
             scope.spawn(|| {
                 let mut client = Client::new(http);
                 while !over.load(Ordering::SeqCst) {
-                    client.ask(&read(), b"");
+                    client.ask(&read_request(), b"");
                 }
             });
         }
@@ -377,19 +380,19 @@
     })
 }
 
-fn none_after(times: &Mutex<Vec<Instant>>, told: Instant, what: &str) {
+fn assert_nothing_sent_after(times: &Mutex<Vec<Instant>>, told: Instant, what: &str) {
     let late: Vec<_> =
         times.lock().expect("times").iter().filter_map(|t| t.checked_duration_since(told)).collect();
     let late: Vec<_> = late.into_iter().filter(|late| *late > GRACE).collect();
     assert!(late.is_empty(), "{what}: {} sent late, the last {:?}", late.len(), late.last());
 }
 
-/// Given an agent that is cut off for a while, when it returns and holds a drain, then under load nothing new goes to the
-/// node once the grace is over, whatever the watch was doing.
+/// Given an agent that is unreachable for a while, when it returns with a drain, then under load nothing new goes to
+/// the node once the grace is over, whatever the watch was doing.
 #[test]
 fn a_drain_that_an_agent_has_at_its_return_is_kept_under_load() {
     for millis in [150, 1300, 3400] {
-        let ((old, times), new) = (timed("old"), brick("new"));
+        let ((old, times), new) = (timed_node("old"), node("new"));
         let discovery =
             Discovery::start(&[entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 0, "ready")]);
         let head = Head::start(&discovery, None, &[]);
@@ -401,19 +404,19 @@
             let told = Instant::now();
             discovery.cut_off(false);
             std::thread::sleep(Duration::from_millis(700));
-            none_after(&times, told, &format!("an outage of {millis} ms"));
+            assert_nothing_sent_after(&times, told, &format!("an outage of {millis} ms"));
         });
         assert!(!times.lock().expect("times").is_empty());
         assert_eq!(head.logged("is back after").is_some(), millis > 1000);
     }
 }
 
-/// Given a head that starts while its agent is cut off, with an earlier list or with none, when the agent returns with a
-/// drain, then nothing new goes to the node once the grace is over.
+/// Given a head that starts while its agent is unreachable, with a cached list or without, when the agent returns
+/// with a drain, then nothing new goes to the node once the grace is over.
 #[test]
 fn a_head_that_starts_in_an_outage_keeps_the_drain_at_its_end() {
     for known in [true, false] {
-        let ((old, times), new) = (timed("old"), brick("new"));
+        let ((old, times), new) = (timed_node("old"), node("new"));
         let discovery =
             Discovery::start(&[entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 0, "ready")]);
         discovery.cut_off(true);
@@ -432,16 +435,16 @@
         under_load(head.http, || {
             let told = back.join().expect("its return");
             std::thread::sleep(Duration::from_millis(700));
-            none_after(&times, told, &format!("known: {known}"));
+            assert_nothing_sent_after(&times, told, &format!("known: {known}"));
         });
         assert!(!known || !times.lock().expect("times").is_empty(), "it serves from its earlier list");
     }
 }
 
-/// Given a watch that falls silent for good right before a drain, once and again, then each drain is kept.
+/// Given a watch that stalls for good right before a drain, several times in a row, then each drain is kept.
 #[test]
-fn a_watch_that_falls_silent_right_before_a_drain_keeps_nothing_back() {
-    let ((old, times), new) = (timed("old"), brick("new"));
+fn a_drain_right_after_the_watch_stalls_is_kept() {
+    let ((old, times), new) = (timed_node("old"), node("new"));
     let discovery =
         Discovery::start(&[entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 0, "ready")]);
     let head = Head::start(&discovery, None, &[]);
@@ -452,7 +455,7 @@
             discovery.push(&[entry("s-1", old.address, 0, "draining")]);
             let told = Instant::now();
             std::thread::sleep(Duration::from_millis(500));
-            none_after(&times, told, &format!("round {round}"));
+            assert_nothing_sent_after(&times, told, &format!("round {round}"));
             discovery.push(&[entry("s-1", old.address, 0, "ready")]);
             let before = times.lock().expect("times").len();
             wait(|| (times.lock().expect("times").len() > before).then_some(()));
@@ -460,11 +463,11 @@
     });
 }
 
-/// Given SIGHUP in an outage of the old source, to one that is silent too, and once more before that is done, when the
-/// last one returns with a drain, then it is kept.
+/// Given reloads (SIGHUP) in an outage of the old source, to one that is stalled too, and to a third before that is
+/// done, when the last one returns with a drain, then it is kept.
 #[test]
-fn a_move_to_a_source_that_is_silent_ends_with_its_return() {
-    let ((old, times), new) = (timed("old"), brick("new"));
+fn a_move_to_a_stalled_source_ends_with_its_return() {
+    let ((old, times), new) = (timed_node("old"), node("new"));
     let ready = [entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 0, "ready")];
     let [first, second, third] = [0; 3].map(|_| Discovery::start(&ready));
     let head = Head::start(&first, None, &[]);
@@ -484,7 +487,7 @@
         third.cut_off(false);
         wait(|| head.logged("now at"));
         std::thread::sleep(Duration::from_millis(500));
-        none_after(&times, told, "a move");
+        assert_nothing_sent_after(&times, told, "a move");
     });
     assert!(!times.lock().expect("times").is_empty());
     let asked = second.asked().len();
