--- a/crates/lab/benches/module.rs
+++ b/crates/lab/benches/module.rs
@@ -17,28 +17,28 @@
 /// Nodes on the list, and requests pending.
 const NODES: [u32; 6] = [200, 500, 1024, 2048, 4096, 7100];
 const PENDING: [u32; 4] = [0, 100, 1000, 2857];
-/// Nodes that go in one change: a zone of the largest fleet, or this part of a smaller one.
+/// Nodes that go in one change: a zone of the largest fleet, or one node in so many of a smaller one.
 const GONE: u32 = 888;
-const GONE_PART: u32 = 8;
+const GONE_ONE_IN: u32 = 8;
 /// Batches of which the fastest counts, and calls in each.
 const BATCHES: usize = 7;
 const CALLS: u32 = 40;
 /// Virtual seconds between two calls: so few that nothing falls due in between.
 const STEP: f64 = 1e-6;
-/// Seconds of an aim and of a deadline that no request reaches.
+/// Seconds of an objective and of a deadline that no request reaches.
 const FAR: f64 = 1e5;
 /// Schedulers made to see what an unused node costs in memory.
 const MANY: usize = 40;
 
 /// The module or its reference.
 trait Module {
-    fn start(set: SchedulerSettings) -> Self;
+    fn start(settings: SchedulerSettings) -> Self;
     fn call(&mut self, now: f64, events: &[Event], actions: &mut Vec<Action>);
 }
 
 impl Module for flaxgap::Scheduler {
-    fn start(set: SchedulerSettings) -> Self {
-        flaxgap::Scheduler::new(set, 1, 0.0).expect("settings that can be served")
+    fn start(settings: SchedulerSettings) -> Self {
+        flaxgap::Scheduler::new(settings, 1, 0.0).expect("settings that can be served")
     }
 
     fn call(&mut self, now: f64, events: &[Event], actions: &mut Vec<Action>) {
@@ -47,8 +47,8 @@
 }
 
 impl Module for reference::Scheduler {
-    fn start(set: SchedulerSettings) -> Self {
-        reference::Scheduler::new(set, 1, 0.0).expect("settings that can be served")
+    fn start(settings: SchedulerSettings) -> Self {
+        reference::Scheduler::new(settings, 1, 0.0).expect("settings that can be served")
     }
 
     fn call(&mut self, now: f64, events: &[Event], actions: &mut Vec<Action>) {
@@ -103,8 +103,8 @@
     Endpoint { node, shard: ShardId(shard), started_at: 0.0, zone, state }
 }
 
-/// A module with its list, and requests that stay pending.
-struct Rig<M> {
+/// A module with its endpoint list, and requests that stay pending.
+struct Harness<M> {
     module: M,
     nodes: u32,
     now: f64,
@@ -112,15 +112,16 @@
     actions: Vec<Action>,
 }
 
-impl<M: Module> Rig<M> {
-    fn new(nodes: u32, pending: u32) -> Rig<M> {
-        let mut rig = Rig { module: M::start(settings()), nodes, now: 0.0, next: 0, actions: Vec::new() };
-        rig.list(UpdateKind::Snapshot, (0..nodes).map(|shard| node(shard, NodeState::Ready)).collect());
+impl<M: Module> Harness<M> {
+    fn new(nodes: u32, pending: u32) -> Harness<M> {
+        let mut harness =
+            Harness { module: M::start(settings()), nodes, now: 0.0, next: 0, actions: Vec::new() };
+        harness.list(UpdateKind::Snapshot, (0..nodes).map(|shard| node(shard, NodeState::Ready)).collect());
         for shard in 0..pending {
-            let ask = rig.request(Some(ShardId(shard % nodes)));
-            rig.call(&[ask]);
+            let arrival = harness.request(Some(ShardId(shard % nodes)));
+            harness.call(&[arrival]);
         }
-        rig
+        harness
     }
 
     fn call(&mut self, events: &[Event]) {
@@ -150,10 +151,10 @@
         })
     }
 
-    /// A request comes, is sent and is answered, in two calls.
-    fn life(&mut self, shard: Option<ShardId>) {
-        let ask = self.request(shard);
-        self.call(&[ask]);
+    /// A request arrives, is sent and is answered, in two calls.
+    fn request_run(&mut self, shard: Option<ShardId>) {
+        let arrival = self.request(shard);
+        self.call(&[arrival]);
         self.call(&[Event::AttemptEnded {
             request: RequestId(self.next),
             attempt: 0,
@@ -189,35 +190,35 @@
     }
 
     /// Microseconds of each kind of work.
-    fn figures(mut self) -> [f64; 7] {
-        let (nodes, gone) = (self.nodes, GONE.min(self.nodes / GONE_PART));
-        let some = move |rig: &Self| ShardId(rig.next.wrapping_mul(7919) % nodes);
-        let zone = |state| (0..gone).map(|at| node(at * GONE_PART, state)).collect::<Vec<_>>();
-        let nothing = self.time(CALLS, |_| (), |rig| rig.call(&[Event::WakeUp]));
-        let life = self.time(CALLS, |_| (), |rig| rig.life(Some(some(rig))));
-        let anywhere = self.time(CALLS, |_| (), |rig| rig.life(None));
+    fn measure(mut self) -> [f64; 7] {
+        let (nodes, gone) = (self.nodes, GONE.min(self.nodes / GONE_ONE_IN));
+        let some_shard = move |harness: &Self| ShardId(harness.next.wrapping_mul(7919) % nodes);
+        let zone = |state| (0..gone).map(|at| node(at * GONE_ONE_IN, state)).collect::<Vec<_>>();
+        let nothing = self.time(CALLS, |_| (), |harness| harness.call(&[Event::WakeUp]));
+        let request_run = self.time(CALLS, |_| (), |harness| harness.request_run(Some(some_shard(harness))));
+        let new_object = self.time(CALLS, |_| (), |harness| harness.request_run(None));
         let unknown = Event::StreamingStarted { request: RequestId(1 << 30) };
-        let started = self.time(CALLS, |_| (), |rig| rig.call(std::slice::from_ref(&unknown)));
-        let entry = self.time(
+        let started = self.time(CALLS, |_| (), |harness| harness.call(std::slice::from_ref(&unknown)));
+        let list_entry = self.time(
             CALLS,
             |_| (),
-            |rig| {
-                rig.next += 1;
+            |harness| {
+                harness.next += 1;
                 let restarted = Endpoint {
-                    started_at: f64::from(rig.next) * 1e-9,
-                    ..node(some(rig).0, NodeState::Ready)
+                    started_at: f64::from(harness.next) * 1e-9,
+                    ..node(some_shard(harness).0, NodeState::Ready)
                 };
-                rig.list(UpdateKind::Changes, vec![restarted]);
+                harness.list(UpdateKind::Changes, vec![restarted]);
             },
         );
-        let lost = self.time(
+        let zone_lost = self.time(
             3,
-            |rig| rig.list(UpdateKind::Changes, zone(NodeState::Ready)),
-            |rig| rig.list(UpdateKind::Changes, zone(NodeState::Gone)),
+            |harness| harness.list(UpdateKind::Changes, zone(NodeState::Ready)),
+            |harness| harness.list(UpdateKind::Changes, zone(NodeState::Gone)),
         );
         self.list(UpdateKind::Changes, zone(NodeState::Ready));
-        let tick = self.time(CALLS, |rig| rig.now += 0.5, |rig| rig.call(&[Event::WakeUp]));
-        [nothing, life, anywhere, started, entry, lost, tick]
+        let tick = self.time(CALLS, |harness| harness.now += 0.5, |harness| harness.call(&[Event::WakeUp]));
+        [nothing, request_run, new_object, started, list_entry, zone_lost, tick]
     }
 }
 
@@ -231,7 +232,7 @@
 /// Bytes for each node that nothing was sent to.
 fn bytes_for_each_node<M: Module>(nodes: u32) -> f64 {
     let before = resident();
-    let all: Vec<Rig<M>> = (0..MANY).map(|_| Rig::new(nodes, 0)).collect();
+    let all: Vec<Harness<M>> = (0..MANY).map(|_| Harness::new(nodes, 0)).collect();
     let bytes = (resident() - before) / (all.len() as f64 * f64::from(nodes));
     black_box(&all);
     bytes
@@ -244,14 +245,14 @@
         bytes_for_each_node::<flaxgap::Scheduler>(most)
     );
     println!("{:24} before {:.0}", "", bytes_for_each_node::<reference::Scheduler>(most));
-    let kinds = ["nothing", "life", "new object", "started", "entry", "zone gone", "tick"];
+    let kinds = ["nothing", "request", "new object", "started", "entry", "zone gone", "tick"];
     println!("nodes pending        {}", kinds.map(|kind| format!("{kind:>10}")).join(" "));
     for nodes in NODES {
         for pending in PENDING {
             let row = |figures: [f64; 7]| figures.map(|us| format!("{us:10.2}")).join(" ");
-            let before = row(Rig::<reference::Scheduler>::new(nodes, pending).figures());
+            let before = row(Harness::<reference::Scheduler>::new(nodes, pending).measure());
             println!("{nodes:5} {pending:7} before {before}");
-            let now = row(Rig::<flaxgap::Scheduler>::new(nodes, pending).figures());
+            let now = row(Harness::<flaxgap::Scheduler>::new(nodes, pending).measure());
             println!("{nodes:5} {pending:7} now    {now}");
         }
     }
--- a/src/scheduler/class_weights.rs
+++ b/src/scheduler/class_weights.rs
@@ -165,6 +165,12 @@
     }
 }
 
+/// The class that is given weight at an adaptation.
+struct Receiver {
+    index: usize,
+    measured: MeasuredClass,
+}
+
 /// The weights of all classes, and when they are adapted next.
 pub(super) struct ClassWeights {
     pub(super) classes: Vec<ClassShare>,
@@ -217,20 +223,20 @@
         for class in &mut self.classes {
             class.update_delay();
         }
-        let Some((receiver, measured)) = self.most_underweight() else { return false };
-        let received = self.collect_donations(measured.needed_weight());
-        self.classes[receiver].weight += received;
+        let Some(receiver) = self.most_underweight() else { return false };
+        let received = self.collect_donations(receiver.measured.needed_weight());
+        self.classes[receiver.index].weight += received;
         received > 0.0
     }
 
     /// The class with the highest d_i / D_i among the underweight ones; of equals the last.
-    fn most_underweight(&self) -> Option<(usize, MeasuredClass)> {
-        let mut worst: Option<(usize, MeasuredClass)> = None;
+    fn most_underweight(&self) -> Option<Receiver> {
+        let mut worst: Option<Receiver> = None;
         for (index, class) in self.classes.iter().enumerate() {
             let Some(measured) = class.measured().filter(MeasuredClass::is_underweight) else { continue };
             let ratio = measured.delay_ratio();
-            if worst.is_none_or(|(_, worst)| ratio.total_cmp(&worst.delay_ratio()).is_ge()) {
-                worst = Some((index, measured));
+            if worst.as_ref().is_none_or(|worst| ratio.total_cmp(&worst.measured.delay_ratio()).is_ge()) {
+                worst = Some(Receiver { index, measured });
             }
         }
         worst
