--- a/crates/distribution/src/encode.rs
+++ b/crates/distribution/src/encode.rs
@@ -1,7 +1,7 @@
 //! Encodes lists in the discovery protocol: one JSON object a line, always with the same fields in the same order.
 
 use bytes::Bytes;
-use flaxgap_membership::wire::{Entry, State};
+use flaxgap_membership::list::{Entry, NodeState};
 use serde::Serialize;
 use std::collections::BTreeSet;
 
@@ -33,14 +33,14 @@
 
 /// The entry that announces the departure of a node.
 pub(crate) fn departed_entry(name: String) -> Entry {
-    Entry { name, address: None, zone: String::new(), shard: None, state: State::Gone, boot: 0.0 }
+    Entry { name, address: None, zone: String::new(), shard: None, state: NodeState::Gone, started_at: 0.0 }
 }
 
-fn state_name(state: State) -> &'static str {
+fn state_name(state: NodeState) -> &'static str {
     match state {
-        State::Ready => "ready",
-        State::Draining => "draining",
-        State::Gone => "gone",
+        NodeState::Ready => "ready",
+        NodeState::Draining => "draining",
+        NodeState::Gone => "gone",
     }
 }
 
@@ -51,7 +51,7 @@
         az: &entry.zone,
         pod_group: entry.shard,
         state: Some(state_name(entry.state)),
-        boot_ms: (entry.boot * MS_PER_S).round() as u64,
+        boot_ms: (entry.started_at * MS_PER_S).round() as u64,
     }
 }
 
--- a/crates/distribution/src/replica/entries.rs
+++ b/crates/distribution/src/replica/entries.rs
@@ -1,8 +1,8 @@
 //! The entries of a replica: the nodes that are listed, and the nodes of which only the name could be parsed.
 
 use crate::encode::departed_entry;
-use flaxgap_membership::Change;
-use flaxgap_membership::wire::{Entry, List, State};
+use flaxgap_membership::EntryChange;
+use flaxgap_membership::list::{EndpointList, Entry, NodeState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Whether a list is complete or holds changes only.
@@ -16,8 +16,8 @@
 
 impl ListKind {
     /// The kind of a received list.
-    pub(super) fn of(list: &List) -> ListKind {
-        if list.all { ListKind::Snapshot } else { ListKind::Changes }
+    pub(super) fn of(list: &EndpointList) -> ListKind {
+        if list.is_snapshot { ListKind::Snapshot } else { ListKind::Changes }
     }
 }
 
@@ -52,10 +52,10 @@
 
     /// Removes the name-only nodes that a list announces as gone, and returns their departures: a watcher may know
     /// more of them than this replica.
-    pub(super) fn remove_departed_name_only(&mut self, list: &List) -> Vec<Entry> {
+    pub(super) fn remove_departed_name_only(&mut self, list: &EndpointList) -> Vec<Entry> {
         let mut departures = Vec::new();
         for entry in &list.entries {
-            if entry.state == State::Gone && self.name_only.remove(&entry.name) {
+            if entry.state == NodeState::Gone && self.name_only.remove(&entry.name) {
                 departures.push(departed_entry(entry.name.clone()));
             }
         }
@@ -65,15 +65,15 @@
     /// Stores the changes that membership accepted, and returns the entries to send to watchers. A list of changes is
     /// passed on in full: a watcher at a version in between may need what looks unchanged from here. Of a complete
     /// list only the difference is passed on.
-    pub(super) fn store(&mut self, changes: Vec<Change>, kind: ListKind) -> Vec<Entry> {
+    pub(super) fn store(&mut self, changes: Vec<EntryChange>, kind: ListKind) -> Vec<Entry> {
         let mut updates = Vec::new();
         for change in changes {
             match change {
-                Change::Gone(name) => {
+                EntryChange::Removed(name) => {
                     self.remove(&name);
                     updates.push(departed_entry(name));
                 }
-                Change::Holds(entry) => {
+                EntryChange::Updated(entry) => {
                     let entry = self.complete(entry);
                     let is_changed = self.insert(entry.clone());
                     if kind == ListKind::Changes || is_changed {
@@ -99,13 +99,13 @@
 
     /// Fills the missing fields of an entry from the stored one. Only an entry that is not ready may lack any.
     fn complete(&self, mut entry: Entry) -> Entry {
-        if entry.state == State::Ready {
+        if entry.state == NodeState::Ready {
             return entry;
         }
         let Some(known) = self.listed.get(&entry.name) else { return entry };
         entry.address = entry.address.or(known.address);
         entry.shard = entry.shard.or(known.shard);
-        entry.boot = entry.boot.max(known.boot);
+        entry.started_at = entry.started_at.max(known.started_at);
         if entry.zone.is_empty() {
             entry.zone.clone_from(&known.zone);
         }
--- a/crates/distribution/src/replica/mod.rs
+++ b/crates/distribution/src/replica/mod.rs
@@ -9,8 +9,8 @@
 use crate::log::{Log, Lookup, Position, Record};
 use bytes::Bytes;
 use entries::{Entries, ListKind};
-use flaxgap_membership::wire::{Entry, List, State};
-use flaxgap_membership::{Membership, Source};
+use flaxgap_membership::list::{EndpointList, Entry, NodeState};
+use flaxgap_membership::{Membership, SourceCursor};
 use lease::Lease;
 pub use limits::ReplicaLimits;
 use std::collections::BTreeSet;
@@ -92,9 +92,14 @@
 }
 
 impl ReceivedList {
-    fn new(list: &List) -> ReceivedList {
-        let name_only = list.unread.iter().filter_map(|unparsed| unparsed.name.clone()).collect();
-        ReceivedList { kind: ListKind::of(list), version: list.rev, unparsed: list.unread.len(), name_only }
+    fn new(list: &EndpointList) -> ReceivedList {
+        let name_only = list.unreadable.iter().filter_map(|unparsed| unparsed.name.clone()).collect();
+        ReceivedList {
+            kind: ListKind::of(list),
+            version: list.version,
+            unparsed: list.unreadable.len(),
+            name_only,
+        }
     }
 }
 
@@ -123,7 +128,7 @@
     limits: ReplicaLimits,
     lease: Lease,
     membership: Membership,
-    source: Source,
+    source: SourceCursor,
     entries: Entries,
     /// Nodes that returned to ready without a newer version. They are sent once more with the next version, because a
     /// head may rank their drain as recent as this.
@@ -144,7 +149,7 @@
         Replica {
             lease: Lease::new(limits.lease_s),
             membership: Membership::default(),
-            source: Source::default(),
+            source: SourceCursor::default(),
             entries: Entries::default(),
             ready_to_repeat: BTreeSet::new(),
             has_unconfirmed_changes: false,
@@ -183,12 +188,12 @@
 
     /// The version after which upstream has to be watched.
     pub fn upstream_version(&self) -> u64 {
-        self.source.cursor()
+        self.source.version()
     }
 
     /// Whether upstream has to be asked for its complete list rather than for changes.
     pub fn needs_relist(&self, now: f64) -> bool {
-        if !self.has_synced || self.source.counts_anew(now) {
+        if !self.has_synced || self.source.has_rewound(now) {
             return true;
         }
         self.has_unconfirmed_changes && !self.source.is_behind()
@@ -214,14 +219,14 @@
     }
 
     /// Applies a list from upstream, and appends one record of what it changes.
-    pub fn apply(&mut self, list: List, now: f64) -> Result<Applied, ReplicaError> {
+    pub fn apply(&mut self, list: EndpointList, now: f64) -> Result<Applied, ReplicaError> {
         self.renew_lease(now);
         let received = ReceivedList::new(&list);
         let previous_version = self.version();
         let is_initial_sync = !self.has_synced;
 
         let mut updates = self.entries.remove_departed_name_only(&list);
-        let changes = self.membership.take(list, &mut self.source, now);
+        let changes = self.membership.apply_named(list, &mut self.source, now);
         updates.extend(self.entries.store(changes, received.kind));
         self.update_name_only(received.kind, received.name_only);
         self.update_unconfirmed(received.kind, &updates);
@@ -305,7 +310,7 @@
 
     /// Schedules the nodes that returned to ready without a newer version.
     fn schedule_repeats(&mut self, updates: &[Entry]) {
-        let ready = updates.iter().filter(|entry| entry.state == State::Ready);
+        let ready = updates.iter().filter(|entry| entry.state == NodeState::Ready);
         self.ready_to_repeat.extend(ready.map(|entry| entry.name.clone()));
     }
 
--- a/crates/distribution/src/update_filter.rs
+++ b/crates/distribution/src/update_filter.rs
@@ -2,7 +2,7 @@
 //! lag behind the other. A stale update would take nodes out of service for a moment, and an update that jumps over a
 //! version received from the other relay may lack what changed and changed back.
 
-use flaxgap_membership::Source;
+use flaxgap_membership::SourceCursor;
 
 /// What to do with an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,18 +18,18 @@
 /// The progress of one watch through the versions. Each watch that is opened gets its own filter.
 #[derive(Debug)]
 pub struct UpdateFilter {
-    source: Source,
+    source: SourceCursor,
     received_version: u64,
 }
 
 impl UpdateFilter {
     /// The filter of a watch that starts after a version; 0 for the complete list.
     pub fn new(since: u64) -> UpdateFilter {
-        UpdateFilter { source: Source::at(since), received_version: since }
+        UpdateFilter { source: SourceCursor::at(since), received_version: since }
     }
 
     /// What membership records of this watch.
-    pub fn source(&mut self) -> &mut Source {
+    pub fn source(&mut self) -> &mut SourceCursor {
         &mut self.source
     }
 
@@ -40,7 +40,7 @@
 
     /// Whether the relay has lagged behind for so long that its complete list has to be requested.
     pub fn needs_relist(&self, now: f64) -> bool {
-        self.source.counts_anew(now)
+        self.source.has_rewound(now)
     }
 
     /// Decides on an update of this watch, by its version, whether it is a complete list, and the version that membership
--- a/crates/distribution/tests/fleet.rs
+++ b/crates/distribution/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod simulation;
 
 use flaxgap_distribution::replica::ReplicaLimits;
-use flaxgap_membership::wire::{Entry, State};
+use flaxgap_membership::list::{Entry, NodeState};
 use simulation::{Relay, RelayFailure, Simulation, SimulationPlan, localities, planned_relays, relays};
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
 }
 
 fn drain(simulation: &mut Simulation, number: usize) {
-    simulation.discovery.change(vec![simulation::node(number, State::Draining, 0.0)]);
+    simulation.discovery.change(vec![simulation::node(number, NodeState::Draining, 0.0)]);
     simulation.publish();
 }
 
@@ -219,8 +219,8 @@
     })
 }
 
-fn state_at_heads(simulation: &Simulation, region: &str, number: usize) -> Vec<Option<State>> {
-    let name = simulation::node(number, State::Ready, 0.0).name;
+fn state_at_heads(simulation: &Simulation, region: &str, number: usize) -> Vec<Option<NodeState>> {
+    let name = simulation::node(number, NodeState::Ready, 0.0).name;
     let heads = simulation.heads.iter().filter(|head| head.locality.region == region);
     heads.map(|head| head.listed(&name).map(|(state, _)| state)).collect()
 }
@@ -238,15 +238,15 @@
         simulation.cut_off = Some("r1".into());
         // Nodes of the cut side that stop and start; discovery learns of that when the cut heals.
         let cut_side = vec![
-            Entry { state: State::Draining, ..simulation::node(1, State::Ready, 0.0) },
-            simulation::node(3, State::Gone, 0.0),
-            simulation::node(61, State::Ready, simulation.now() + 60.0),
+            Entry { state: NodeState::Draining, ..simulation::node(1, NodeState::Ready, 0.0) },
+            simulation::node(3, NodeState::Gone, 0.0),
+            simulation::node(61, NodeState::Ready, simulation.now() + 60.0),
         ];
         for minute in 0..3 {
             simulation.run_for(30.0);
             let leaves = vec![
-                simulation::node(10 + minute, State::Gone, 0.0),
-                simulation::node(20 + minute, State::Draining, 0.0),
+                simulation::node(10 + minute, NodeState::Gone, 0.0),
+                simulation::node(20 + minute, NodeState::Draining, 0.0),
             ];
             simulation.discovery.change(leaves);
             simulation.publish();
@@ -254,12 +254,12 @@
             assert!(
                 state_at_heads(&simulation, "r0", 20 + minute)
                     .iter()
-                    .all(|state| *state == Some(State::Draining))
+                    .all(|state| *state == Some(NodeState::Draining))
             );
             assert!(
                 state_at_heads(&simulation, "r1", 20 + minute)
                     .iter()
-                    .all(|state| *state == Some(State::Ready))
+                    .all(|state| *state == Some(NodeState::Ready))
             );
             for head in simulation.heads.iter().filter(|head| head.locality.region == "r1") {
                 assert_eq!(head.selection.reachable_relays(), 0);
@@ -302,23 +302,23 @@
         for number in 0..30 {
             simulation.discovery.change(vec![simulation::node(
                 number % 5,
-                State::Ready,
+                NodeState::Ready,
                 f64::from(number as u32 + 1),
             )]);
         }
-        simulation.discovery.change(vec![simulation::node(7, State::Draining, 0.0)]);
+        simulation.discovery.change(vec![simulation::node(7, NodeState::Draining, 0.0)]);
         simulation.run_for(20.0);
         assert!(simulation.all_agree());
         simulation.discovery.renumber(3);
-        simulation.discovery.change(vec![simulation::node(8, State::Gone, 0.0)]);
+        simulation.discovery.change(vec![simulation::node(8, NodeState::Gone, 0.0)]);
         simulation.publish();
         let took =
             simulation.run_until_holds(25.0, |simulation| simulation.all_current() && simulation.all_agree());
         slowest = slowest.max(took);
-        simulation.discovery.change(vec![simulation::node(9, State::Draining, 0.0)]);
+        simulation.discovery.change(vec![simulation::node(9, NodeState::Draining, 0.0)]);
         simulation.publish();
         simulation.run_until_holds(1.0, |simulation| simulation.all_current() && simulation.all_agree());
-        assert!(state_at_heads(&simulation, "r0", 7).iter().all(|state| *state == Some(State::Draining)));
+        assert!(state_at_heads(&simulation, "r0", 7).iter().all(|state| *state == Some(NodeState::Draining)));
     }
     println!("a source that restarts its numbering is detected by all within {slowest:.1} s");
 }
--- a/crates/distribution/tests/moves.rs
+++ b/crates/distribution/tests/moves.rs
@@ -3,7 +3,7 @@
 mod simulation;
 
 use flaxgap_distribution::replica::ReplicaLimits;
-use flaxgap_membership::wire::{Entry, State};
+use flaxgap_membership::list::{Entry, NodeState};
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use simulation::{RelayFailure, Simulation, SimulationPlan, localities, relays};
@@ -30,21 +30,21 @@
     let mut entries: Vec<Entry> = Vec::new();
     for _ in 0..simulation.event_queue.rng.random_range(1..4) {
         let number = simulation.event_queue.rng.random_range(0..NODES + 3);
-        let plain = simulation::node(number, State::Ready, 0.0);
+        let plain = simulation::node(number, NodeState::Ready, 0.0);
         if entries.iter().any(|entry| entry.name == plain.name) {
             continue;
         }
         let boot = (simulation.now() * 10.0).round() / 10.0;
         let next = match simulation.discovery.listed().get(&plain.name) {
-            None => simulation::node(number, State::Ready, boot),
-            Some(known) if known.state == State::Draining => {
+            None => simulation::node(number, NodeState::Ready, boot),
+            Some(known) if known.state == NodeState::Draining => {
                 match simulation.event_queue.rng.random_range(0..3) {
-                    0 => Entry { state: State::Ready, ..known.clone() },
-                    1 => simulation::node(number, State::Ready, boot),
-                    _ => simulation::node(number, State::Gone, known.boot),
+                    0 => Entry { state: NodeState::Ready, ..known.clone() },
+                    1 => simulation::node(number, NodeState::Ready, boot),
+                    _ => simulation::node(number, NodeState::Gone, known.started_at),
                 }
             }
-            Some(known) => Entry { state: State::Draining, ..known.clone() },
+            Some(known) => Entry { state: NodeState::Draining, ..known.clone() },
         };
         entries.push(next);
     }
--- a/crates/distribution/tests/replica.rs
+++ b/crates/distribution/tests/replica.rs
@@ -3,27 +3,27 @@
 use bytes::Bytes;
 use flaxgap_distribution::replica::{ReadRecord, Replica, ReplicaLimits, ReplicaStatus, Resume};
 use flaxgap_membership::compact::CompactList;
-use flaxgap_membership::wire::{Entry, List, State, Unread};
-use flaxgap_membership::{BEHIND, Change, Membership, Source};
+use flaxgap_membership::list::{EndpointList, Entry, EntryProblem, NodeState, UnreadableEntry};
+use flaxgap_membership::{EntryChange, Membership, REWIND_AFTER_S, SourceCursor};
 use std::collections::BTreeMap;
 
 const NOW: f64 = 1000.0;
 
-use State::{Draining, Gone, Ready};
+use NodeState::{Draining, Gone, Ready};
 
-fn entry(name: &str, state: State, boot: f64) -> Entry {
+fn entry(name: &str, state: NodeState, boot: f64) -> Entry {
     let address = Some(([10, 1, 0, 18], 8080).into());
-    Entry { name: name.into(), address, zone: "a".into(), shard: Some(3), state, boot }
+    Entry { name: name.into(), address, zone: "a".into(), shard: Some(3), state, started_at: boot }
 }
 
-fn list(rev: u64, all: bool, entries: &[Entry]) -> List {
-    List { rev, all, entries: entries.to_vec(), unread: vec![] }
+fn list(rev: u64, all: bool, entries: &[Entry]) -> EndpointList {
+    EndpointList { version: rev, is_snapshot: all, entries: entries.to_vec(), unreadable: vec![] }
 }
 
-fn parse(text: &Bytes) -> List {
+fn parse(text: &Bytes) -> EndpointList {
     assert_eq!(text.iter().filter(|byte| **byte == b'\n').count(), 1, "one line");
     assert_eq!(text.last(), Some(&b'\n'));
-    List::parse(text).expect("a list that can be read")
+    EndpointList::parse(text).expect("a list that can be read")
 }
 
 /// A copy that has heard one complete list.
@@ -34,7 +34,7 @@
 }
 
 /// The lists that one who knows a version is sent from the log.
-fn records_since(replica: &Replica, since: u64, now: f64) -> Vec<List> {
+fn records_since(replica: &Replica, since: u64, now: f64) -> Vec<EndpointList> {
     let Resume::Changes { from } = replica.resume(since, now) else {
         panic!("no changes after {since}: {:?}", replica.resume(since, now))
     };
@@ -51,21 +51,21 @@
 #[derive(Default)]
 struct Head {
     membership: Membership,
-    source: Source,
-    listed: BTreeMap<String, State>,
+    source: SourceCursor,
+    listed: BTreeMap<String, NodeState>,
 }
 
 impl Head {
-    fn hear(&mut self, list: List, now: f64) {
-        for change in self.membership.take(list, &mut self.source, now) {
+    fn hear(&mut self, list: EndpointList, now: f64) {
+        for change in self.membership.apply_named(list, &mut self.source, now) {
             match change {
-                Change::Holds(entry) => _ = self.listed.insert(entry.name, entry.state),
-                Change::Gone(name) => _ = self.listed.remove(&name),
+                EntryChange::Updated(entry) => _ = self.listed.insert(entry.name, entry.state),
+                EntryChange::Removed(name) => _ = self.listed.remove(&name),
             }
         }
     }
 
-    fn state(&self, name: &str) -> Option<State> {
+    fn state(&self, name: &str) -> Option<NodeState> {
         self.listed.get(name).copied()
     }
 }
@@ -88,7 +88,7 @@
     assert_eq!(parse(&text), list(41, true, &entries));
     replica.apply(list(42, false, &[entry("b", Gone, 0.0)]), NOW).expect("applied");
     let records = records_since(&replica, 41, NOW);
-    assert_eq!((records[0].rev, records[0].all, records[0].entries[0].state), (42, false, Gone));
+    assert_eq!((records[0].version, records[0].is_snapshot, records[0].entries[0].state), (42, false, Gone));
 }
 
 /// Guards against a text for each reader: a list of the coming size is encoded once for each version.
@@ -99,7 +99,7 @@
     assert_eq!(first.as_ptr(), second.as_ptr());
     replica.apply(list(42, false, &[entry("a", Draining, 0.0)]), NOW).expect("applied");
     let third = replica.snapshot().expect("a list");
-    assert_eq!((parse(&third).rev, parse(&third).entries[0].state), (42, Draining));
+    assert_eq!((parse(&third).version, parse(&third).entries[0].state), (42, Draining));
 }
 
 /// Given versions one after the other, when a watcher resumes from each, then it gets exactly what came after.
@@ -110,7 +110,7 @@
         replica.apply(list(rev, false, &[entry("a", Ready, rev as f64)]), NOW).expect("applied");
     }
     for since in 41..50 {
-        let revs: Vec<u64> = records_since(&replica, since, NOW).iter().map(|list| list.rev).collect();
+        let revs: Vec<u64> = records_since(&replica, since, NOW).iter().map(|list| list.version).collect();
         assert_eq!(revs, (since + 1..50).collect::<Vec<_>>(), "since {since}");
     }
     assert_eq!(replica.resume(40, NOW), Resume::Snapshot);
@@ -161,7 +161,7 @@
     let applied = replica.apply(list(42, true, &second), NOW).expect("applied");
     assert_eq!((applied.changed_entries, applied.version), (3, 42));
     let records = records_since(&replica, 41, NOW);
-    let sent: BTreeMap<&str, State> =
+    let sent: BTreeMap<&str, NodeState> =
         records[0].entries.iter().map(|entry| (entry.name.as_str(), entry.state)).collect();
     assert_eq!(sent, [("b", Draining), ("c", Gone), ("d", Ready)].into());
     // The same once more says nothing.
@@ -184,7 +184,7 @@
     // Changes over skipped versions name all nodes that changed meanwhile, and serve all.
     replica.apply(list(47, false, &[entry("a", Ready, 0.0)]), NOW).expect("applied");
     let records = records_since(&replica, 45, NOW);
-    assert_eq!((records[0].rev, records[0].entries[0].name.as_str()), (47, "a"));
+    assert_eq!((records[0].version, records[0].entries[0].name.as_str()), (47, "a"));
 }
 
 /// Given a list that is older than what is known, when it says that a node drains, then all who know this version are
@@ -219,9 +219,9 @@
 /// node; and when the node leaves, then it is told so.
 #[test]
 fn an_unparsed_entry_removes_no_node_from_a_head() {
-    let spoilt = Unread { place: 1, name: Some("b".into()), problem: "endpoint".into() };
+    let spoilt = UnreadableEntry { index: 1, name: Some("b".into()), problem: EntryProblem::NameMissing };
     let mut replica = Replica::new(ReplicaLimits::default());
-    let snapshot = List { unread: vec![spoilt], ..list(41, true, &[entry("a", Ready, 0.0)]) };
+    let snapshot = EndpointList { unreadable: vec![spoilt], ..list(41, true, &[entry("a", Ready, 0.0)]) };
     let applied = replica.apply(snapshot, NOW).expect("applied");
     assert_eq!(applied.unparsed, 1);
     let mut head = Head::default();
@@ -241,13 +241,16 @@
 fn an_unparsed_change_leaves_the_known_entry() {
     let mut replica =
         replica(41, &[entry("a", Ready, 0.0), entry("b", Ready, 0.0)], ReplicaLimits::default());
-    let spoilt = Unread { place: 0, name: Some("a".into()), problem: "endpoint".into() };
+    let spoilt = UnreadableEntry { index: 0, name: Some("a".into()), problem: EntryProblem::NameMissing };
     replica
-        .apply(List { unread: vec![spoilt], ..list(42, false, &[entry("b", Draining, 0.0)]) }, NOW)
+        .apply(
+            EndpointList { unreadable: vec![spoilt], ..list(42, false, &[entry("b", Draining, 0.0)]) },
+            NOW,
+        )
         .expect("applied");
     let snapshot = parse(&replica.snapshot().expect("a list"));
-    let states: Vec<State> = snapshot.entries.iter().map(|entry| entry.state).collect();
-    assert_eq!((snapshot.rev, states, snapshot.unread.len()), (42, vec![Ready, Draining], 0));
+    let states: Vec<NodeState> = snapshot.entries.iter().map(|entry| entry.state).collect();
+    assert_eq!((snapshot.version, states, snapshot.unreadable.len()), (42, vec![Ready, Draining], 0));
 }
 
 /// Given a drain without an address, a shard or a start, when it is passed on, then it has what was known of the node.
@@ -280,13 +283,13 @@
     ];
     for list in received {
         direct.hear(list.clone(), NOW + 1.0);
-        let drains = list.rev != 43 && head.state("a") == Some(Draining);
+        let drains = list.version != 43 && head.state("a") == Some(Draining);
         let before = replica.version();
         let known = head.membership.version();
         let applied = replica.apply(list, NOW + 1.0).expect("applied");
         assert!(replica.version() >= before && !applied.renumbered);
         for record in records_since(&replica, known, NOW + 1.0) {
-            assert!(record.rev >= head.membership.version());
+            assert!(record.version >= head.membership.version());
             head.hear(record, NOW + 1.0);
         }
         assert_eq!(head.membership.version(), replica.version());
@@ -307,15 +310,15 @@
     let anew = [entry("a", Ready, 0.0), entry("c", Ready, 0.0)];
     replica.apply(list(1, true, &anew), NOW + 1.0).expect("applied");
     assert_eq!((replica.version(), replica.generation()), (901, 0));
-    assert!(!replica.needs_relist(NOW + 1.0 + BEHIND - 0.1));
-    assert!(replica.needs_relist(NOW + 1.0 + BEHIND));
-    let applied = replica.apply(list(1, true, &anew), NOW + 1.0 + BEHIND).expect("applied");
+    assert!(!replica.needs_relist(NOW + 1.0 + REWIND_AFTER_S - 0.1));
+    assert!(replica.needs_relist(NOW + 1.0 + REWIND_AFTER_S));
+    let applied = replica.apply(list(1, true, &anew), NOW + 1.0 + REWIND_AFTER_S).expect("applied");
     assert!(applied.renumbered);
     assert_eq!((replica.version(), replica.generation(), replica.log().len()), (1, 1, 0));
-    let now = NOW + 1.0 + BEHIND;
+    let now = NOW + 1.0 + REWIND_AFTER_S;
     assert_eq!([replica.resume(901, now), replica.resume(0, now)], [Resume::WatcherAhead, Resume::Snapshot]);
     let snapshot = parse(&replica.snapshot().expect("a list"));
-    let listed: Vec<(&str, State)> =
+    let listed: Vec<(&str, NodeState)> =
         snapshot.entries.iter().map(|entry| (entry.name.as_str(), entry.state)).collect();
     assert_eq!(listed, [("a", Draining), ("c", Ready)]);
     replica.apply(list(2, false, &[entry("c", Draining, 0.0)]), now).expect("applied");
--- a/crates/distribution/tests/simulation/discovery.rs
+++ b/crates/distribution/tests/simulation/discovery.rs
@@ -1,10 +1,10 @@
 //! Discovery: one order of versions, the list at its newest, and which state on a node held when.
 
-use flaxgap_membership::wire::{Entry, List, State};
+use flaxgap_membership::list::{EndpointList, Entry, NodeState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a list says of a node; none where it is not listed.
-pub type ListedState = Option<(State, u64)>;
+pub type ListedState = Option<(NodeState, u64)>;
 
 pub struct Discovery {
     version: u64,
@@ -18,10 +18,10 @@
 }
 
 pub fn listed_state(entry: &Entry) -> ListedState {
-    (entry.state != State::Gone).then_some((entry.state, (entry.boot * 1000.0) as u64))
+    (entry.state != NodeState::Gone).then_some((entry.state, (entry.started_at * 1000.0) as u64))
 }
 
-pub fn node(number: usize, state: State, boot: f64) -> Entry {
+pub fn node(number: usize, state: NodeState, boot: f64) -> Entry {
     let [_, b, c, d] = (number as u32).to_be_bytes();
     Entry {
         name: format!("s-{number:08x}"),
@@ -29,7 +29,7 @@
         zone: format!("z{}", number % 8),
         shard: Some(number as u32 % 512),
         state,
-        boot,
+        started_at: boot,
     }
 }
 
@@ -44,7 +44,7 @@
             sends_snapshots_only: false,
         };
         for number in 0..nodes {
-            discovery.hold(node(number, State::Ready, 0.0));
+            discovery.hold(node(number, NodeState::Ready, 0.0));
         }
         discovery
     }
@@ -52,7 +52,7 @@
     fn hold(&mut self, entry: Entry) {
         self.history.entry(entry.name.clone()).or_default().push((self.version, listed_state(&entry)));
         match entry.state {
-            State::Gone => _ = self.listed.remove(&entry.name),
+            NodeState::Gone => _ = self.listed.remove(&entry.name),
             _ => _ = self.listed.insert(entry.name.clone(), entry),
         }
     }
@@ -84,13 +84,13 @@
         self.changed.clear();
     }
 
-    pub fn snapshot(&self) -> List {
+    pub fn snapshot(&self) -> EndpointList {
         let entries = self.listed.values().cloned().collect();
-        List { rev: self.version, all: true, entries, unread: vec![] }
+        EndpointList { version: self.version, is_snapshot: true, entries, unreadable: vec![] }
     }
 
     /// What changed after a version, as it holds now.
-    pub fn changes(&self, after: u64) -> List {
+    pub fn changes(&self, after: u64) -> EndpointList {
         let names: BTreeSet<&String> = self.changed.range(after + 1..).flat_map(|(_, names)| names).collect();
         let entry = |name: &&String| {
             self.listed.get(*name).cloned().unwrap_or_else(|| Entry {
@@ -98,12 +98,12 @@
                 address: None,
                 zone: String::new(),
                 shard: None,
-                state: State::Gone,
-                boot: 0.0,
+                state: NodeState::Gone,
+                started_at: 0.0,
             })
         };
         let entries = names.iter().map(entry).collect();
-        List { rev: self.version, all: false, entries, unread: vec![] }
+        EndpointList { version: self.version, is_snapshot: false, entries, unreadable: vec![] }
     }
 
     /// The first version from another on at which this held of a node.
--- a/crates/distribution/tests/simulation/head.rs
+++ b/crates/distribution/tests/simulation/head.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use flaxgap_distribution::selection::{Directive, Locality, LostReason, Selection, WatchId};
 use flaxgap_distribution::update_filter::{UpdateFilter, Verdict};
-use flaxgap_membership::wire::List;
-use flaxgap_membership::{Change, Membership};
+use flaxgap_membership::list::EndpointList;
+use flaxgap_membership::{EntryChange, Membership};
 use std::collections::BTreeMap;
 
 /// One watch, as the head's client keeps it.
@@ -99,11 +99,11 @@
         let known = self.known();
         let Some(watch) = self.watches.get_mut(&watch_id) else { return false };
         let list = match &self.membership {
-            Some(_) => List::parse(text).expect("a list that can be read"),
+            Some(_) => EndpointList::parse(text).expect("a list that can be read"),
             None => heading(text),
         };
-        self.snapshots += usize::from(list.all);
-        let verdict = watch.filter.evaluate(list.rev, list.all, known);
+        self.snapshots += usize::from(list.is_snapshot);
+        let verdict = watch.filter.evaluate(list.version, list.is_snapshot, known);
         if !self.bypasses_filter {
             match verdict {
                 Verdict::Apply => {}
@@ -112,15 +112,15 @@
             }
         }
         let Some(membership) = &mut self.membership else {
-            self.known = self.known.max(list.rev);
+            self.known = self.known.max(list.version);
             return false;
         };
-        let changes = membership.take(list, watch.filter.source(), now);
+        let changes = membership.apply_named(list, watch.filter.source(), now);
         watch.has_relisted &= watch.filter.needs_relist(now);
         for change in changes {
             let (name, state) = match change {
-                Change::Holds(entry) => (entry.name.clone(), listed_state(&entry)),
-                Change::Gone(name) => (name, None),
+                EntryChange::Updated(entry) => (entry.name.clone(), listed_state(&entry)),
+                EntryChange::Removed(name) => (name, None),
             };
             self.record(name, state, discovery);
         }
@@ -139,12 +139,17 @@
 }
 
 /// A list's version, and whether it is whole, without its entries.
-fn heading(text: &Bytes) -> List {
+fn heading(text: &Bytes) -> EndpointList {
     let start = std::str::from_utf8(&text[..text.len().min(64)]).expect("text");
     let rest = start.strip_prefix("{\"rev\":").expect("a version first");
     let (rev, rest) = rest.split_once(',').expect("a version's end");
     let all = rest.starts_with("\"all\":true");
-    List { rev: rev.parse().expect("a version"), all, entries: vec![], unread: vec![] }
+    EndpointList {
+        version: rev.parse().expect("a version"),
+        is_snapshot: all,
+        entries: vec![],
+        unreadable: vec![],
+    }
 }
 
 impl Simulation {
--- a/crates/distribution/tests/update_filter.rs
+++ b/crates/distribution/tests/update_filter.rs
@@ -1,16 +1,22 @@
 //! What a head takes of two relays, one of which is behind the other.
 
 use flaxgap_distribution::update_filter::{UpdateFilter, Verdict};
-use flaxgap_membership::wire::{Entry, List, State};
-use flaxgap_membership::{BEHIND, Membership};
+use flaxgap_membership::list::{EndpointList, Entry, NodeState};
+use flaxgap_membership::{Membership, REWIND_AFTER_S};
 
 const NOW: f64 = 1000.0;
 
-fn list(rev: u64, all: bool) -> List {
+fn list(rev: u64, all: bool) -> EndpointList {
     let address = Some(([10, 1, 0, 18], 8080).into());
-    let entry =
-        Entry { name: "a".into(), address, zone: "a".into(), shard: Some(3), state: State::Ready, boot: 0.0 };
-    List { rev, all, entries: vec![entry], unread: vec![] }
+    let entry = Entry {
+        name: "a".into(),
+        address,
+        zone: "a".into(),
+        shard: Some(3),
+        state: NodeState::Ready,
+        started_at: 0.0,
+    };
+    EndpointList { version: rev, is_snapshot: all, entries: vec![entry], unreadable: vec![] }
 }
 
 /// Given lists in their order, when the other watch has told some of them, then these are known and the rest is taken.
@@ -42,13 +48,13 @@
 #[test]
 fn a_renumbered_relay_is_relisted() {
     let (mut membership, mut filter) = (Membership::default(), UpdateFilter::new(0));
-    membership.take(list(900, true), filter.source(), NOW);
+    membership.apply_named(list(900, true), filter.source(), NOW);
     assert_eq!(filter.evaluate(1, true, 900), Verdict::Apply);
-    membership.take(list(1, true), filter.source(), NOW);
+    membership.apply_named(list(1, true), filter.source(), NOW);
     assert_eq!(filter.evaluate(2, false, 900), Verdict::Apply);
-    assert!(!filter.needs_relist(NOW + BEHIND - 0.1));
+    assert!(!filter.needs_relist(NOW + REWIND_AFTER_S - 0.1));
     filter.restart(0);
-    assert!(filter.needs_relist(NOW + BEHIND));
-    membership.take(list(2, true), filter.source(), NOW + BEHIND);
-    assert_eq!((membership.version(), filter.needs_relist(NOW + BEHIND)), (2, false));
+    assert!(filter.needs_relist(NOW + REWIND_AFTER_S));
+    membership.apply_named(list(2, true), filter.source(), NOW + REWIND_AFTER_S);
+    assert_eq!((membership.version(), filter.needs_relist(NOW + REWIND_AFTER_S)), (2, false));
 }
--- a/crates/distribution/tests/watcher.rs
+++ b/crates/distribution/tests/watcher.rs
@@ -2,18 +2,25 @@
 
 use flaxgap_distribution::replica::{Replica, ReplicaLimits};
 use flaxgap_distribution::watcher::{EndReason, StallAction, WatchAction, Watcher};
-use flaxgap_membership::BEHIND;
-use flaxgap_membership::wire::{Entry, List, State};
+use flaxgap_membership::REWIND_AFTER_S;
+use flaxgap_membership::list::{EndpointList, Entry, NodeState};
 
 const NOW: f64 = 1000.0;
 
 fn entry(boot: f64) -> Entry {
     let address = Some(([10, 1, 0, 18], 8080).into());
-    Entry { name: "a".into(), address, zone: "a".into(), shard: Some(3), state: State::Ready, boot }
+    Entry {
+        name: "a".into(),
+        address,
+        zone: "a".into(),
+        shard: Some(3),
+        state: NodeState::Ready,
+        started_at: boot,
+    }
 }
 
-fn list(rev: u64, all: bool) -> List {
-    List { rev, all, entries: vec![entry(rev as f64)], unread: vec![] }
+fn list(rev: u64, all: bool) -> EndpointList {
+    EndpointList { version: rev, is_snapshot: all, entries: vec![entry(rev as f64)], unreadable: vec![] }
 }
 
 fn replica() -> Replica {
@@ -24,14 +31,14 @@
 
 fn rev(next: WatchAction) -> u64 {
     let WatchAction::Send(text) = next else { panic!("nothing to send: {next:?}") };
-    List::parse(&text).expect("a list").rev
+    EndpointList::parse(&text).expect("a list").version
 }
 
 /// What a watch that knows the relay's version hears first: a list of that version without entries.
 fn assert_no_changes(next: WatchAction, version: u64) {
     let WatchAction::Send(text) = next else { panic!("no list: {next:?}") };
-    let expected = List { rev: version, all: false, entries: vec![], unread: vec![] };
-    assert_eq!(List::parse(&text).expect("a list"), expected);
+    let expected = EndpointList { version, is_snapshot: false, entries: vec![], unreadable: vec![] };
+    assert_eq!(EndpointList::parse(&text).expect("a list"), expected);
 }
 
 /// Given nothing new, when time passes, then there is a list without entries at once, and an empty line each 2 s.
@@ -77,7 +84,7 @@
     replica.apply(list(42, false), NOW + 1.0).expect("applied");
     assert_eq!(watcher.poll(&replica, NOW + 1.0), WatchAction::Wait { until: NOW + 2.0 });
     let snapshot = watcher.take_snapshot(&mut replica, NOW + 1.0).expect("written").expect("current");
-    assert_eq!(List::parse(&snapshot).expect("a list").rev, 42);
+    assert_eq!(EndpointList::parse(&snapshot).expect("a list").version, 42);
     assert_eq!(watcher.poll(&replica, NOW + 1.0), WatchAction::Wait { until: NOW + 3.0 });
     replica.apply(list(43, false), NOW + 1.0).expect("applied");
     assert_eq!(rev(watcher.poll(&replica, NOW + 1.0)), 43);
@@ -198,7 +205,7 @@
         watcher.poll(&replica, NOW);
     }
     replica.apply(list(1, true), NOW).expect("applied");
-    let now = NOW + BEHIND;
+    let now = NOW + REWIND_AFTER_S;
     assert!(replica.apply(list(1, true), now).expect("applied").renumbered);
     for watcher in &mut watchers {
         assert_eq!(watcher.take_snapshot(&mut replica, now).expect("written"), None);
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -9,14 +9,14 @@
 use flaxgap::discovery::EndpointDirectory;
 use flaxgap::discovery::relays::RelayFollower;
 use flaxgap::discovery::relays::settings::DistributionSettings;
-use flaxgap::discovery::schedule::PollSchedule;
+use flaxgap::discovery::schedule::{PollSchedule, SourceKind};
 use flaxgap::exclusions::Exclusions;
 use flaxgap::metrics::counters::Counters;
 use flaxgap::node::{NodeTransport, NodeTransportSettings};
 use flaxgap::resources::descriptors::DescriptorBudget;
 use flaxgap::resources::memory::BodyMemory;
 use flaxgap::scheduler::{SchedulerSettings, UpdateKind};
-use flaxgap_membership::Source;
+use flaxgap_membership::SourceCursor;
 use flaxgap_membership::compact::CompactList;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -92,13 +92,17 @@
             PollSchedule::new(
                 settings.heads,
                 seed,
-                settings.poll_interval_s.is_some() || !plan.relays.is_empty(),
+                if settings.poll_interval_s.is_some() || !plan.relays.is_empty() {
+                    SourceKind::SharedServer
+                } else {
+                    SourceKind::LocalAgent
+                },
                 seconds(notes.drain_grace),
             ),
         );
         let knows = known.is_some();
         if let Some(list) = known {
-            directory.apply(list, &mut Source::default(), UpdateKind::CachedSnapshot);
+            directory.apply(list, &mut SourceCursor::default(), UpdateKind::CachedSnapshot);
         }
         directory.observe(heard);
         let address = plan.discovery[region(zone(number)) % plan.discovery.len()];
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -175,7 +175,7 @@
             StartsWith::Nothing => None,
             StartsWith::KnownList => Some(self.known_list().await?),
         };
-        let version = known.as_ref().map_or(0, |list| list.rev);
+        let version = known.as_ref().map_or(0, |list| list.version);
         for (place, number) in numbers.iter().enumerate() {
             let state =
                 Rc::new(HeadState { started: now(), heard: Cell::new(false), version: Cell::new(version) });
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,67 +1,90 @@
-//! Which of two records on the same node counts.
+//! Which of two records about the same node is valid.
 
-use crate::wire::State;
+use crate::list::NodeState;
 
-/// The number of a record: how often versions were counted anew before it, then the version.
+/// The version of a list, and how often the version count had restarted before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Number {
+pub(crate) struct ListVersion {
+    /// How often the version count was seen to restart.
     pub(crate) epoch: u32,
     pub(crate) version: u64,
 }
 
-impl Number {
-    /// Whether this record is known to be newer. Versions of different counts say nothing of each other, unless the
-    /// later count has come past where the earlier one ended.
-    pub(crate) fn after(self, other: Number) -> bool {
+impl ListVersion {
+    /// Whether this version is known to be newer. Versions of different epochs can't be compared, unless the later
+    /// epoch has passed the version at which the earlier one ended.
+    pub(crate) fn is_newer_than(self, other: ListVersion) -> bool {
         self.epoch >= other.epoch && self.version > other.version
     }
 
-    /// Whether this record is known to be older.
-    pub(crate) fn before(self, other: Number) -> bool {
+    /// Whether this version is known to be older.
+    pub(crate) fn is_older_than(self, other: ListVersion) -> bool {
         self.epoch == other.epoch && self.version < other.version
     }
 }
 
-/// What stands of a node: its state and last start, the number of that record, and when it came.
+/// The valid record about a node: its state and last start, the version by which they are known, and when they were
+/// received.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Record {
-    pub(crate) state: State,
-    pub(crate) boot: f64,
-    pub(crate) number: Number,
-    pub(crate) received: f64,
-    /// It leaves by an older list's record than the number, which is of the newer one that had it ready.
-    pub(crate) uncertain: bool,
+pub(crate) struct StateRecord {
+    pub(crate) state: NodeState,
+    /// The node's last start, in seconds of Unix time; 0 if unknown.
+    pub(crate) started_at: f64,
+    pub(crate) version: ListVersion,
+    /// When the record was received, in seconds of Unix time.
+    pub(crate) received_at: f64,
+    /// The node leaves by a list that is older than `version`, the version by which it was last ready. A list that is
+    /// as new as `version` and has the node ready ends the drain.
+    pub(crate) is_tentative: bool,
 }
 
-impl Record {
-    /// The record that stands after another.
-    pub(crate) fn after(
-        known: Option<&Record>,
-        state: State,
-        boot: f64,
-        number: Number,
-        received: f64,
-    ) -> Record {
-        let fresh = Record { state, boot, number, received, uncertain: false };
-        let Some(known) = known.filter(|_| state != State::Ready) else { return fresh };
-        // A drain may come without the start of what drains, and an older list's takes nothing from what ends it.
-        let (boot, older) = (boot.max(known.boot), number.before(known.number));
-        let uncertain = older && (known.uncertain || known.state == State::Ready);
-        Record { boot, uncertain, number: if older { known.number } else { number }, ..fresh }
+impl StateRecord {
+    /// Creates the record that replaces `known`, given that [`Self::is_superseded_by`] allows it.
+    pub(crate) fn replacing(
+        known: Option<&StateRecord>,
+        state: NodeState,
+        started_at: f64,
+        version: ListVersion,
+        received_at: f64,
+    ) -> StateRecord {
+        let received = StateRecord { state, started_at, version, received_at, is_tentative: false };
+        let Some(known) = known else {
+            return received;
+        };
+        if state == NodeState::Ready {
+            return received;
+        }
+        // A drain may come without the start of the node that drains, and one of an older list must not make it easier
+        // to end the drain: the newer start and the newer version are kept.
+        let is_older = version.is_older_than(known.version);
+        StateRecord {
+            started_at: started_at.max(known.started_at),
+            version: if is_older { known.version } else { version },
+            is_tentative: is_older && (known.is_tentative || known.state == NodeState::Ready),
+            ..received
+        }
     }
 
-    /// Whether an entry with this state and start stands instead of this record. The one place where it is decided
-    /// which of two records counts.
-    pub(crate) fn is_superseded_by(&self, state: State, boot: f64, number: Number) -> bool {
-        // A start later than what stands counts in any list, unless an older one can't know of it.
-        let restarted = boot > self.boot && (!number.before(self.number) || boot > self.received);
+    /// Whether a received entry replaces this record. This is the one place where it is decided which of two records
+    /// about a node is valid.
+    pub(crate) fn is_superseded_by(&self, state: NodeState, started_at: f64, version: ListVersion) -> bool {
+        let is_older = version.is_older_than(self.version);
+        // A start later than the known one counts in any list, unless an older list can't have known of it.
+        let restarted = started_at > self.started_at && (!is_older || started_at > self.received_at);
+        if restarted {
+            return true;
+        }
         match (state, self.state) {
-            _ if restarted => true,
-            (State::Ready, State::Ready) => !number.before(self.number),
-            (State::Ready, _) => number.after(self.number) || self.uncertain && !number.before(self.number),
-            (State::Draining, State::Gone) => !number.before(self.number),
-            // A drain counts whoever tells it, but for what is known to be an older life's.
-            (_, _) => !(number.before(self.number) && boot < self.boot && boot > 0.0),
+            (NodeState::Ready, NodeState::Ready) => !is_older,
+            (NodeState::Ready, NodeState::Draining | NodeState::Gone) => {
+                version.is_newer_than(self.version) || self.is_tentative && !is_older
+            }
+            (NodeState::Draining, NodeState::Gone) => !is_older,
+            // A drain or a removal counts whoever reports it, unless it is known to be of an earlier run of the node.
+            (NodeState::Draining | NodeState::Gone, _) => {
+                let is_of_earlier_run = is_older && started_at > 0.0 && started_at < self.started_at;
+                !is_of_earlier_run
+            }
         }
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,178 +1,305 @@
-//! Discovery's form of a list, read entry by entry: one that can't be read costs no other entry, a drain above all.
+//! Parsers of discovery's JSON form of a list. This module is the only one, beside [`crate::list_header`], that knows
+//! the field names of the wire.
+//!
+//! A list is parsed entry by entry, so that an entry that can't be read costs no other entry. An entry in the expected
+//! form is parsed by its types ([`WireEntry`]); any other is read field by field ([`FieldReader`]) to use what can be
+//! used of it, above all a drain.
 
 use crate::compact::CompactList;
+use crate::list::{EndpointList, Entry, EntryProblem, EntryRef, NodeState, UnreadableEntry};
 use serde::Deserialize;
 use serde_json::Value;
+use serde_json::value::RawValue;
+use std::borrow::Cow;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Whether a node takes work, as a list has it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// Takes work.
-    Ready,
-    /// Finishes its work; must get none.
-    Draining,
-    /// Removed.
-    Gone,
-}
+const NAME: &str = "uid";
+const ADDRESS: &str = "endpoint";
+const ZONE: &str = "az";
+const SHARD: &str = "pod_group";
+const STATE: &str = "state";
+const STARTED_AT_MS: &str = "boot_ms";
 
-/// One entry of a list.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
-    /// The node's name among all heads.
-    pub name: String,
-    /// Where this head reaches it; none where it takes no work and the address can't be read.
-    pub address: Option<SocketAddr>,
-    /// Its zone; empty where there are none.
-    pub zone: String,
-    /// The shard it holds; none where it takes no work and that can't be read.
-    pub shard: Option<u32>,
-    /// Whether it takes work.
-    pub state: State,
-    /// Its last start, in seconds of Unix time; 0 for long ago.
-    pub boot: f64,
-}
-
-/// The list, or changes of it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct List {
-    /// Its version.
-    pub rev: u64,
-    /// Whether it is the whole list.
-    pub all: bool,
-    /// The entries that could be read.
-    pub entries: Vec<Entry>,
-    /// What could not be read, with its place. What was known of these nodes stands.
-    pub unread: Vec<Unread>,
-}
-
-/// An entry, or a part of one, that can't be read.
-#[derive(Clone, Debug, PartialEq, Error)]
-#[error("entry {place} ({}): {problem}", name.as_deref().unwrap_or("no name"))]
-pub struct Unread {
-    /// Its place in the list, from 0.
-    pub place: usize,
-    /// The node's name, if that much can be read.
-    pub name: Option<String>,
-    /// What is wrong.
-    pub problem: String,
-}
+/// The shard of a ready node whose entry names none.
+const DEFAULT_SHARD: u32 = 0;
 
 /// A list of which nothing can be used.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// It is not of the form expected.
+    /// It is no JSON object of the expected form.
     #[error("list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// Not one of its entries can be read.
-    #[error("list: version {rev}, none of {count} entries can be read, the first: {first}")]
-    Nothing {
-        /// Its version.
-        rev: u64,
-        /// How many entries it has.
+    /// It has entries, and none of them can be read.
+    #[error("list: version {version}, none of {count} entries can be read, the first: {first}")]
+    NoReadableEntry {
+        /// The list's version.
+        version: u64,
+        /// The number of its entries.
         count: usize,
-        /// What is wrong with the first.
-        first: Unread,
+        /// What is wrong with the first one.
+        #[source]
+        first: UnreadableEntry,
     },
 }
 
+/// The JSON object of a list, with its entries unparsed.
+#[derive(Deserialize)]
+struct WireList<'a> {
+    rev: u64,
+    #[serde(default)]
+    all: bool,
+    #[serde(borrow)]
+    targets: Vec<&'a RawValue>,
+}
+
+/// [`WireList`] as a part of a document that is parsed already.
 #[derive(Deserialize)]
-struct Raw {
+struct WireListValue {
     rev: u64,
     #[serde(default)]
     all: bool,
     targets: Vec<Value>,
 }
 
-impl List {
-    /// Reads a list's text.
-    pub fn parse(text: &[u8]) -> Result<List, ListError> {
-        CompactList::parse(text).map(List::from)
+/// A JSON string that is copied only if it contains escapes.
+#[derive(Deserialize)]
+struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
+
+/// An entry in the expected form.
+#[derive(Deserialize)]
+struct WireEntry<'a> {
+    #[serde(borrow)]
+    uid: Cow<'a, str>,
+    #[serde(borrow, default)]
+    endpoint: Option<Text<'a>>,
+    #[serde(borrow, default)]
+    az: Option<Text<'a>>,
+    #[serde(default)]
+    pod_group: Option<u32>,
+    #[serde(borrow)]
+    state: Cow<'a, str>,
+    #[serde(default)]
+    boot_ms: Option<f64>,
+}
+
+impl WireEntry<'_> {
+    /// The entry, if every field is valid. Otherwise the fields have to be judged one by one, see [`FieldReader`].
+    fn validated(&self) -> Option<EntryRef<'_>> {
+        let state = parse_state(&self.state)?;
+        let address = match &self.endpoint {
+            Some(text) => Some(text.0.parse().ok()?),
+            None if state == NodeState::Ready => return None,
+            None => None,
+        };
+        let started_at_ms = self.boot_ms.unwrap_or(0.0);
+        if self.uid.is_empty() || !started_at_ms.is_finite() {
+            return None;
+        }
+        Some(EntryRef {
+            name: &self.uid,
+            address,
+            zone: self.az.as_ref().map_or("", |zone| &zone.0),
+            shard: self.pod_group.or(default_shard(state)),
+            state,
+            started_at: unix_seconds(started_at_ms),
+        })
+    }
+}
+
+impl CompactList {
+    /// Parses the text of a list.
+    ///
+    /// # Errors
+    /// Fails if the text is no list, or if it has entries and none can be read.
+    pub fn parse(text: &[u8]) -> Result<CompactList, ListError> {
+        let wire: WireList<'_> = serde_json::from_slice(text)?;
+        let mut list = CompactList::with_capacity(wire.rev, wire.all, wire.targets.len());
+        for (index, value) in wire.targets.iter().enumerate() {
+            parse_entry(index, value, &mut list);
+        }
+        match list.unreadable.first() {
+            Some(first) if list.is_empty() => Err(ListError::NoReadableEntry {
+                version: list.version,
+                count: wire.targets.len(),
+                first: first.clone(),
+            }),
+            _ => Ok(list),
+        }
     }
+}
 
-    /// Reads a list out of a larger document.
-    pub fn from_value(value: Value) -> Result<List, ListError> {
-        List::read(serde_json::from_value(value)?)
+impl EndpointList {
+    /// Parses the text of a list.
+    ///
+    /// # Errors
+    /// Fails if the text is no list, or if it has entries and none can be read.
+    pub fn parse(text: &[u8]) -> Result<EndpointList, ListError> {
+        CompactList::parse(text).map(EndpointList::from)
     }
 
-    fn read(raw: Raw) -> Result<List, ListError> {
-        let (mut list, count) =
-            (List { rev: raw.rev, all: raw.all, entries: vec![], unread: vec![] }, raw.targets.len());
-        for (place, value) in raw.targets.iter().enumerate() {
-            list.entries.extend(read_entry(place, value, &mut list.unread));
+    /// Reads a list that is a part of a larger document.
+    ///
+    /// # Errors
+    /// Fails if the value is no list, or if it has entries and none can be read.
+    pub fn from_value(value: Value) -> Result<EndpointList, ListError> {
+        let wire: WireListValue = serde_json::from_value(value)?;
+        let mut entries = Vec::new();
+        let mut unreadable = Vec::new();
+        for (index, value) in wire.targets.iter().enumerate() {
+            entries.extend(read_entry(index, value, &mut unreadable));
+        }
+        match unreadable.first() {
+            Some(first) if entries.is_empty() => Err(ListError::NoReadableEntry {
+                version: wire.rev,
+                count: wire.targets.len(),
+                first: first.clone(),
+            }),
+            _ => Ok(EndpointList { version: wire.rev, is_snapshot: wire.all, entries, unreadable }),
         }
-        match list.unread.first() {
-            Some(first) if list.entries.is_empty() => {
-                Err(ListError::Nothing { rev: list.rev, count, first: first.clone() })
+    }
+}
+
+/// Parses an entry and appends it to the list, or to the list's unreadable entries.
+fn parse_entry(index: usize, value: &RawValue, list: &mut CompactList) {
+    if let Ok(wire) = serde_json::from_str::<WireEntry<'_>>(value.get())
+        && let Some(entry) = wire.validated()
+    {
+        return list.push(entry);
+    }
+    match serde_json::from_str(value.get()) {
+        Ok(value) => {
+            if let Some(entry) = read_entry(index, &value, &mut list.unreadable) {
+                list.push(EntryRef::from(&entry));
             }
-            _ => Ok(list),
+        }
+        Err(error) => {
+            let problem = EntryProblem::Malformed(error.to_string());
+            list.unreadable.push(UnreadableEntry { index, name: None, problem });
         }
     }
 }
 
-/// Reads one entry field by field. Where a part can't be read, a node that is called ready keeps what was known of it; a
-/// state that says that it leaves, or one that is unknown, counts for a drain all the same.
-pub(crate) fn read_entry(place: usize, value: &Value, unread: &mut Vec<Unread>) -> Option<Entry> {
-    let field = |name: &str| value.get(name).filter(|value| !value.is_null());
-    let name = field("uid").and_then(Value::as_str).filter(|name| !name.is_empty()).map(String::from);
-    let mut note = |problem: String| unread.push(Unread { place, name: name.clone(), problem });
-    let Some(uid) = name.clone() else {
-        note("uid is missing or no text".into());
+/// Reads one entry field by field, and notes in `unreadable` what can't be read.
+///
+/// A ready node with an invalid field gives no entry: what was known of it stays valid. A node that leaves, or whose
+/// state is unknown, gives an entry with the fields that can be read: its drain counts whatever else is wrong.
+fn read_entry(index: usize, value: &Value, unreadable: &mut Vec<UnreadableEntry>) -> Option<Entry> {
+    let name = present_field(value, NAME).and_then(Value::as_str).filter(|name| !name.is_empty());
+    let name = name.map(String::from);
+    let mut reader = FieldReader { index, value, name: name.clone(), unreadable, all_valid: true };
+    let Some(name) = name else {
+        reader.note(EntryProblem::NameMissing);
         return None;
     };
-    let state = match field("state").map(|state| (state, state.as_str())) {
-        Some((_, Some("ready"))) => State::Ready,
-        Some((_, Some("draining"))) => State::Draining,
-        Some((_, Some("gone"))) => State::Gone,
-        Some((other, _)) => {
-            note(format!("unknown state {other}, taken as draining"));
-            State::Draining
-        }
-        None => {
-            note("state is missing".into());
+    let state = reader.state()?;
+    let entry = Entry {
+        name,
+        address: reader.address(state),
+        shard: reader.shard(state),
+        started_at: reader.started_at(),
+        zone: reader.zone(),
+        state,
+    };
+    if reader.all_valid || state != NodeState::Ready { Some(entry) } else { None }
+}
+
+/// Reads the fields of one entry and notes those that are not valid.
+struct FieldReader<'a> {
+    index: usize,
+    value: &'a Value,
+    name: Option<String>,
+    unreadable: &'a mut Vec<UnreadableEntry>,
+    /// No field was invalid so far. An unknown state is no invalid field: it counts as draining.
+    all_valid: bool,
+}
+
+impl FieldReader<'_> {
+    fn note(&mut self, problem: EntryProblem) {
+        self.unreadable.push(UnreadableEntry { index: self.index, name: self.name.clone(), problem });
+    }
+
+    fn note_invalid(&mut self, field: &'static str, value: &Value) {
+        self.all_valid = false;
+        self.note(EntryProblem::InvalidField { field, value: value.clone() });
+    }
+
+    /// The node's state; none if the entry has none.
+    fn state(&mut self) -> Option<NodeState> {
+        let Some(value) = present_field(self.value, STATE) else {
+            self.note(EntryProblem::StateMissing);
             return None;
+        };
+        let known = value.as_str().and_then(parse_state);
+        if known.is_none() {
+            self.note(EntryProblem::StateUnknown(value.clone()));
         }
-    };
-    let mut sound = true;
-    let mut bad = |part: &str, value: &Value| {
-        sound = false;
-        note(format!("{part}: {value}"));
-    };
-    let address = match field("endpoint") {
-        Some(endpoint) => {
-            let address = endpoint.as_str().and_then(|text| text.parse().ok());
-            if address.is_none() && state != State::Gone {
-                bad("endpoint", endpoint);
+        Some(known.unwrap_or(NodeState::Draining))
+    }
+
+    /// The node's address. A ready node has to have one, and that of a removed node does not matter.
+    fn address(&mut self, state: NodeState) -> Option<SocketAddr> {
+        let Some(value) = present_field(self.value, ADDRESS) else {
+            if state == NodeState::Ready {
+                self.note_invalid(ADDRESS, &Value::Null);
             }
-            address
+            return None;
+        };
+        let address = value.as_str().and_then(|text| text.parse().ok());
+        if address.is_none() && state != NodeState::Gone {
+            self.note_invalid(ADDRESS, value);
         }
-        None => {
-            if state == State::Ready {
-                bad("endpoint", &Value::Null);
-            }
-            None
+        address
+    }
+
+    fn shard(&mut self, state: NodeState) -> Option<u32> {
+        let Some(value) = present_field(self.value, SHARD) else {
+            return default_shard(state);
+        };
+        let shard = value.as_u64().and_then(|shard| u32::try_from(shard).ok());
+        if shard.is_none() {
+            self.note_invalid(SHARD, value);
         }
-    };
-    let shard = match field("pod_group") {
-        Some(group) => {
-            let shard = group.as_u64().and_then(|group| u32::try_from(group).ok());
-            if shard.is_none() {
-                bad("pod_group", group);
-            }
-            shard
+        shard
+    }
+
+    /// The node's last start, in seconds of Unix time.
+    fn started_at(&mut self) -> f64 {
+        let Some(value) = present_field(self.value, STARTED_AT_MS) else {
+            return 0.0;
+        };
+        let milliseconds = value.as_f64().filter(|milliseconds| milliseconds.is_finite());
+        if milliseconds.is_none() {
+            self.note_invalid(STARTED_AT_MS, value);
         }
-        None => (state == State::Ready).then_some(0),
-    };
-    let boot = match field("boot_ms") {
-        Some(boot) => boot.as_f64().filter(|boot| boot.is_finite()).unwrap_or_else(|| {
-            bad("boot_ms", boot);
-            0.0
-        }),
-        None => 0.0,
-    };
-    let zone = field("az").and_then(Value::as_str).unwrap_or_default().to_string();
-    let boot = if boot > 0.0 { boot / 1000.0 } else { 0.0 };
-    let entry = Entry { name: uid, address, zone, shard, state, boot };
-    (sound || state != State::Ready).then_some(entry)
+        unix_seconds(milliseconds.unwrap_or(0.0))
+    }
+
+    fn zone(&self) -> String {
+        present_field(self.value, ZONE).and_then(Value::as_str).unwrap_or_default().to_string()
+    }
+}
+
+/// A field's value, if the field exists and is not null.
+fn present_field<'a>(value: &'a Value, field: &str) -> Option<&'a Value> {
+    value.get(field).filter(|value| !value.is_null())
+}
+
+fn parse_state(text: &str) -> Option<NodeState> {
+    match text {
+        "ready" => Some(NodeState::Ready),
+        "draining" => Some(NodeState::Draining),
+        "gone" => Some(NodeState::Gone),
+        _ => None,
+    }
+}
+
+/// The shard of a node whose entry names none: an older record's stays valid for a node that leaves.
+fn default_shard(state: NodeState) -> Option<u32> {
+    (state == NodeState::Ready).then_some(DEFAULT_SHARD)
+}
+
+/// Converts the milliseconds of the wire; 0 for a time before 1970.
+fn unix_seconds(milliseconds: f64) -> f64 {
+    if milliseconds > 0.0 { milliseconds / 1000.0 } else { 0.0 }
 }
--- a/crates/membership/src/zones.rs
+++ b/crates/membership/src/zones.rs
@@ -1,9 +1,9 @@
-//! Zones by number.
+//! Numbers for the names of zones.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The names of zones, in the order in which they came. All past the last number share it.
+/// The names of zones, numbered in the order in which they were first seen. All zones past the last number share it.
 #[derive(Debug, Default)]
 pub(crate) struct Zones {
     names: Vec<Rc<str>>,
@@ -11,18 +11,25 @@
 }
 
 impl Zones {
-    pub(crate) fn number(&mut self, name: &str) -> u16 {
+    /// The number of a zone, which is assigned if the zone is new.
+    pub(crate) fn number_of(&mut self, name: &str) -> u16 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
-        let Ok(number) = u16::try_from(self.names.len()) else { return u16::MAX };
+        let Ok(number) = u16::try_from(self.names.len()) else {
+            return u16::MAX;
+        };
         let name: Rc<str> = name.into();
         self.names.push(name.clone());
         self.numbers.insert(name, number);
         number
     }
 
-    pub(crate) fn name(&self, number: u16) -> &str {
-        self.names.get(usize::from(number)).map_or("", |name| name)
+    /// The name of a zone; empty for a number that was not assigned.
+    pub(crate) fn name_of(&self, number: u16) -> &str {
+        match self.names.get(usize::from(number)) {
+            Some(name) => name,
+            None => "",
+        }
     }
 }
--- a/crates/membership/tests/compact.rs
+++ b/crates/membership/tests/compact.rs
@@ -1,8 +1,8 @@
 //! Entries read by their types say the same as entries read field by field, and large lists cost by what they change.
 
 use flaxgap_membership::compact::CompactList;
-use flaxgap_membership::wire::{Entry, List, State};
-use flaxgap_membership::{LEAST_DEPARTED, Membership, NodeChange, Source};
+use flaxgap_membership::list::{EndpointList, Entry, NodeState};
+use flaxgap_membership::{MIN_DEPARTED, Membership, NodeChange, SourceCursor};
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,20 +10,20 @@
 
 const NODES: usize = 7100;
 
-fn entry(n: usize, state: State) -> Entry {
+fn entry(n: usize, state: NodeState) -> Entry {
     let address = Some(([127, (n >> 16) as u8, (n >> 8) as u8, n as u8], 80).into());
     let (name, zone) = (format!("s-{n:08x}"), format!("z{}", n % 3));
-    Entry { name, address, zone, shard: Some(n as u32), state, boot: 0.0 }
+    Entry { name, address, zone, shard: Some(n as u32), state, started_at: 0.0 }
 }
 
 fn list(rev: u64, all: bool, entries: Vec<Entry>) -> CompactList {
-    List { rev, all, entries, unread: vec![] }.into()
+    EndpointList { version: rev, is_snapshot: all, entries, unreadable: vec![] }.into()
 }
 
 /// A membership that holds all nodes as ready by version 1, and its source.
-fn full() -> (Membership, Source) {
-    let (mut membership, mut source) = (Membership::default(), Source::default());
-    let whole = (0..NODES).map(|n| entry(n, State::Ready)).collect();
+fn full() -> (Membership, SourceCursor) {
+    let (mut membership, mut source) = (Membership::default(), SourceCursor::default());
+    let whole = (0..NODES).map(|n| entry(n, NodeState::Ready)).collect();
     assert_eq!(membership.apply(&list(1, true, whole), &mut source, 1.0).len(), NODES);
     (membership, source)
 }
@@ -86,8 +86,8 @@
         let good = r#"{"uid":"s-9","state":"draining"}"#;
         let text = format!(r#"{{"rev":7,"all":true,"targets":[{{{}}},{good}]}}"#, fields.join(","));
         let value = serde_json::from_str(&text).expect("a value");
-        let by_field = List::from_value(value).expect("a list");
-        assert_eq!(List::parse(text.as_bytes()).expect("a list"), by_field, "{text}");
+        let by_field = EndpointList::from_value(value).expect("a list");
+        assert_eq!(EndpointList::parse(text.as_bytes()).expect("a list"), by_field, "{text}");
     }
 }
 
@@ -96,8 +96,8 @@
 #[test]
 fn a_whole_list_changes_what_differs_and_no_more() {
     let (mut membership, mut source) = full();
-    let mut entries: Vec<Entry> = (0..NODES).map(|n| entry(n, State::Ready)).collect();
-    entries[17].state = State::Draining;
+    let mut entries: Vec<Entry> = (0..NODES).map(|n| entry(n, NodeState::Ready)).collect();
+    entries[17].state = NodeState::Draining;
     entries[4000].address = Some(([127, 0, 0, 9], 81).into());
     let left = entries.remove(7000);
     for (version, expected) in [(2, 3), (2, 0), (3, 0)] {
@@ -105,7 +105,7 @@
         let names: Vec<&str> = changes
             .iter()
             .map(|change| match change {
-                NodeChange::Departed(node) | NodeChange::Updated { node, .. } => &*node.name,
+                NodeChange::Removed(node) | NodeChange::Updated { node, .. } => &*node.name,
             })
             .collect();
         let all = [left.name.as_str(), entries[17].name.as_str(), entries[4000].name.as_str()];
@@ -118,9 +118,9 @@
 #[test]
 fn an_entry_that_changes_nothing_counts_as_the_newer_record() {
     let (mut membership, mut source) = full();
-    membership.apply(&list(9, false, vec![entry(5, State::Ready)]), &mut source, 2.0);
-    let mut other = Source::default();
-    let moved = Entry { address: Some(([127, 0, 0, 9], 81).into()), ..entry(5, State::Ready) };
+    membership.apply(&list(9, false, vec![entry(5, NodeState::Ready)]), &mut source, 2.0);
+    let mut other = SourceCursor::default();
+    let moved = Entry { address: Some(([127, 0, 0, 9], 81).into()), ..entry(5, NodeState::Ready) };
     assert_eq!(membership.apply(&list(8, false, vec![moved.clone()]), &mut other, 3.0), []);
     assert_eq!(membership.apply(&list(10, false, vec![moved]), &mut other, 3.0).len(), 1);
 }
@@ -130,22 +130,22 @@
 #[test]
 fn each_part_that_differs_is_a_change() {
     let (mut membership, mut source) = full();
-    let base = entry(5, State::Ready);
+    let base = entry(5, NodeState::Ready);
     let parts = [
         Entry { zone: "other".into(), ..base.clone() },
-        Entry { boot: 1.5, ..base.clone() },
+        Entry { started_at: 1.5, ..base.clone() },
         Entry { shard: Some(9), ..base.clone() },
         Entry { address: Some("[::1]:80".parse().expect("an address")), ..base.clone() },
-        Entry { address: None, shard: None, state: State::Draining, ..base.clone() },
+        Entry { address: None, shard: None, state: NodeState::Draining, ..base.clone() },
     ];
     let mut seen = vec![];
     for (place, part) in parts.into_iter().enumerate() {
         let version = 2 + place as u64;
         let changes = membership.apply(&list(version, false, vec![part.clone()]), &mut source, 2.0);
-        let [NodeChange::Updated { node, left_shard }] = &changes[..] else {
+        let [NodeChange::Updated { node, previous_shard }] = &changes[..] else {
             panic!("{part:?}: {changes:?}")
         };
-        seen.push((node.shard, *left_shard, node.address.map(|address| address.is_ipv6())));
+        seen.push((node.shard, *previous_shard, node.address.map(|address| address.is_ipv6())));
         assert_eq!(membership.apply(&list(version, false, vec![part]), &mut source, 2.0), []);
     }
     let (v4, v6) = (Some(false), Some(true));
@@ -157,10 +157,10 @@
 fn a_node_that_comes_back_has_a_number_of_its_own() {
     let (mut membership, mut source) = full();
     let before = membership.node("s-00000005").expect("listed").id;
-    let changes = membership.apply(&list(2, false, vec![entry(5, State::Gone)]), &mut source, 2.0);
-    assert!(matches!(&changes[..], [NodeChange::Departed(node)] if node.id == before));
+    let changes = membership.apply(&list(2, false, vec![entry(5, NodeState::Gone)]), &mut source, 2.0);
+    assert!(matches!(&changes[..], [NodeChange::Removed(node)] if node.id == before));
     assert_eq!((membership.node("s-00000005"), membership.knows("s-00000005")), (None, true));
-    membership.apply(&list(3, false, vec![entry(5, State::Ready)]), &mut source, 3.0);
+    membership.apply(&list(3, false, vec![entry(5, NodeState::Ready)]), &mut source, 3.0);
     let back = membership.node("s-00000005").expect("listed").id;
     let numbers: HashSet<u32> = membership.nodes().map(|node| node.id).collect();
     assert!(back != before && numbers.len() == NODES && !numbers.contains(&before));
@@ -180,25 +180,25 @@
             spans.push((spans[version - 1].0 + replaced, spans[version - 1].1 + replaced));
         }
         let whole = |version: usize| {
-            let entries = (spans[version].0..spans[version].1).map(|n| entry(n, State::Ready));
+            let entries = (spans[version].0..spans[version].1).map(|n| entry(n, NodeState::Ready));
             list(version as u64, true, entries.collect())
         };
         // All that changed after one version up to another.
         let change = |after: usize, version: usize| {
             let (before, now) = (spans[after], spans[version]);
-            let gone = (before.0..now.0).map(|n| entry(n, State::Gone));
-            let came = (before.1.max(now.0)..now.1).map(|n| entry(n, State::Ready));
+            let gone = (before.0..now.0).map(|n| entry(n, NodeState::Gone));
+            let came = (before.1.max(now.0)..now.1).map(|n| entry(n, NodeState::Ready));
             list(version as u64, false, gone.chain(came).collect())
         };
         let (mut membership, mut newest, mut present) = (Membership::default(), 0, 0);
-        let mut sources: [Source; 2] = Default::default();
+        let mut sources: [SourceCursor; 2] = Default::default();
         membership.apply(&whole(0), &mut sources[0], 0.0);
         for step in 0..60 {
             let now = step as f64 / 100.0;
             present = (present + usize::from(chance.random_bool(0.4))).min(9);
             let version = present.saturating_sub(chance.random_range(0..3));
             let source = &mut sources[usize::from(chance.random_bool(0.5))];
-            let after = source.cursor() as usize;
+            let after = source.version() as usize;
             let list = match after > version || chance.random_bool(0.5) {
                 true => whole(version),
                 false => change(after, version),
@@ -210,7 +210,7 @@
             assert_eq!(stale, 0, "seed {seed}, step {step}: version {version} after {newest}");
         }
         assert_eq!(newest, 9, "seed {seed}");
-        assert!(spans[9].0 > 3 * LEAST_DEPARTED, "more have left than were remembered before");
+        assert!(spans[9].0 > 3 * MIN_DEPARTED, "more have left than were remembered before");
         assert!(membership.knows("s-00000000"), "the first that left is remembered yet");
     }
 }
@@ -220,7 +220,7 @@
 fn departed_names_are_forgotten_past_four_times_the_longest_list() {
     let (mut membership, mut source) = full();
     for round in 1..8 {
-        let entries = (0..NODES).map(|n| entry(round * NODES + n, State::Ready)).collect();
+        let entries = (0..NODES).map(|n| entry(round * NODES + n, NodeState::Ready)).collect();
         membership.apply(&list(round as u64 + 1, true, entries), &mut source, round as f64);
     }
     let known = |round: usize| membership.knows(&format!("s-{:08x}", round * NODES + 5));
@@ -238,5 +238,8 @@
     let whole = CompactList::parse(text.as_bytes()).expect("a list");
     membership.apply(&whole, &mut source, 2.0);
     assert_eq!((membership.len(), membership.ready()), (2, 2));
-    assert_eq!(membership.node("s-00000005").and_then(|node| node.address), entry(5, State::Ready).address);
+    assert_eq!(
+        membership.node("s-00000005").and_then(|node| node.address),
+        entry(5, NodeState::Ready).address
+    );
 }
--- a/crates/membership/tests/header.rs
+++ b/crates/membership/tests/list_header.rs
@@ -1,14 +1,14 @@
 //! A whole list is known for one by its first bytes, in any layout, and never before its version has come in full.
 
-use flaxgap_membership::values::{LONGEST, Value, Values};
+use flaxgap_membership::decoder::{Decoded, ListDecoder, MAX_LIST_BYTES};
 
 const CUTS: usize = 200;
 
 fn begun(text: &str) -> Option<u64> {
-    let mut values = Values::default();
+    let mut values = ListDecoder::default();
     values.push(text.as_bytes());
     while values.next_compact().is_some() {}
-    values.whole_list_begun()
+    values.incomplete_snapshot_version()
 }
 
 /// Layouts of one whole list of version 4107, each with the length from which on its first two fields are known.
@@ -86,9 +86,9 @@
     let entries: Vec<String> = (0..7100).map(entry).collect();
     let text =
         format!("{{\n  \"rev\": 7,\n  \"all\": true,\n  \"targets\": [\n{}\n]}}\n", entries.join(",\n"));
-    assert!(text.len() > 2_500_000 && text.len() < LONGEST / 2, "{} of {LONGEST}", text.len());
-    let mut values = Values::default();
+    assert!(text.len() > 2_500_000 && text.len() < MAX_LIST_BYTES / 2, "{} of {MAX_LIST_BYTES}", text.len());
+    let mut values = ListDecoder::default();
     values.push(text.as_bytes());
-    let Some(Ok(Value::List(list, _))) = values.next_compact() else { panic!("no list") };
-    assert_eq!((list.len(), list.unread.len()), (7100, 0));
+    let Some(Ok(Decoded::List(list, _))) = values.next_compact() else { panic!("no list") };
+    assert_eq!((list.len(), list.unreadable.len()), (7100, 0));
 }
--- a/crates/membership/tests/records.rs
+++ b/crates/membership/tests/records.rs
@@ -1,54 +1,54 @@
 //! Which record on a node stands: cases that were thought of, then histories drawn from seeds, told by sources that lag,
 //! to heads that restart. The checker is shown to catch a head that takes each list as it comes.
 
-use flaxgap_membership::wire::{Entry, List, State};
-use flaxgap_membership::{BEHIND, Change, Membership, Source};
+use flaxgap_membership::list::{EndpointList, Entry, NodeState};
+use flaxgap_membership::{EntryChange, Membership, REWIND_AFTER_S, SourceCursor};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-fn entry(name: &str, state: State, boot: f64) -> Entry {
+fn entry(name: &str, state: NodeState, boot: f64) -> Entry {
     let address = Some(([127, 0, 0, 1], 80).into());
-    Entry { name: name.into(), address, zone: String::new(), shard: Some(0), state, boot }
+    Entry { name: name.into(), address, zone: String::new(), shard: Some(0), state, started_at: boot }
 }
 
-fn list(rev: u64, all: bool, entries: &[Entry]) -> List {
-    List { rev, all, entries: entries.to_vec(), unread: vec![] }
+fn list(rev: u64, all: bool, entries: &[Entry]) -> EndpointList {
+    EndpointList { version: rev, is_snapshot: all, entries: entries.to_vec(), unreadable: vec![] }
 }
 
 /// The states of the nodes that a head takes to be listed.
 #[derive(Default)]
 struct Head {
     membership: Membership,
-    holds: BTreeMap<String, State>,
+    holds: BTreeMap<String, NodeState>,
 }
 
 impl Head {
-    fn hear(&mut self, list: List, source: &mut Source, now: f64) {
-        for change in self.membership.take(list, source, now) {
+    fn hear(&mut self, list: EndpointList, source: &mut SourceCursor, now: f64) {
+        for change in self.membership.apply_named(list, source, now) {
             match change {
-                Change::Holds(entry) => _ = self.holds.insert(entry.name, entry.state),
-                Change::Gone(name) => _ = self.holds.remove(&name),
+                EntryChange::Updated(entry) => _ = self.holds.insert(entry.name, entry.state),
+                EntryChange::Removed(name) => _ = self.holds.remove(&name),
             }
         }
     }
 
-    fn state(&self, name: &str) -> Option<State> {
+    fn state(&self, name: &str) -> Option<NodeState> {
         self.holds.get(name).copied()
     }
 }
 
-use State::{Draining, Gone, Ready};
+use NodeState::{Draining, Gone, Ready};
 
 /// Guards against a source that is behind the one before it, or behind an earlier life's list: by its whole list, and
 /// by its changes, which tell again what is past.
 #[test]
 fn an_older_list_calls_no_leaving_node_ready() {
     for whole in [true, false] {
-        let (mut head, mut source) = (Head::default(), Source::default());
+        let (mut head, mut source) = (Head::default(), SourceCursor::default());
         head.hear(list(9, true, &[entry("a", Draining, 0.0), entry("b", Ready, 5.0)]), &mut source, 100.0);
-        let mut other = Source::at(9);
+        let mut other = SourceCursor::at(9);
         head.hear(list(7, whole, &[entry("a", Ready, 0.0), entry("c", Ready, 50.0)]), &mut other, 101.0);
         assert!(other.is_behind());
         // What version 9 lacked had left by then, and what it had is not gone since an older list lacks it.
@@ -66,10 +66,10 @@
 /// Guards against a name that comes back: by a later start, or by a newer record, and by nothing else.
 #[test]
 fn what_is_gone_comes_back_by_a_later_start_or_a_newer_word() {
-    let (mut head, mut source) = (Head::default(), Source::default());
+    let (mut head, mut source) = (Head::default(), SourceCursor::default());
     head.hear(list(3, true, &[entry("a", Ready, 10.0), entry("b", Ready, 0.0)]), &mut source, 100.0);
     head.hear(list(4, false, &[entry("a", Gone, 0.0), entry("b", Draining, 0.0)]), &mut source, 101.0);
-    let mut late = Source::default();
+    let mut late = SourceCursor::default();
     head.hear(list(3, false, &[entry("a", Ready, 10.0), entry("b", Ready, 40.0)]), &mut late, 102.0);
     assert_eq!(
         (head.state("a"), head.state("b")),
@@ -87,15 +87,15 @@
 /// even then its list brings back nothing that was told to leave; its own later record does.
 #[test]
 fn a_source_that_counts_anew_stands_in_time_and_brings_no_leaving_node_back() {
-    let (mut head, mut old) = (Head::default(), Source::default());
+    let (mut head, mut old) = (Head::default(), SourceCursor::default());
     let told = [entry("a", Draining, 0.0), entry("b", Ready, 0.0), entry("d", Ready, 0.0)];
     head.hear(list(900, true, &told), &mut old, 100.0);
     let anew = [entry("a", Ready, 0.0), entry("b", Ready, 0.0), entry("c", Ready, 0.0)];
-    let mut new = Source::default();
+    let mut new = SourceCursor::default();
     for tenths in 0..60 {
         let now = 100.0 + f64::from(tenths) / 10.0;
         head.hear(list(1, true, &anew), &mut new, now);
-        let stands = now - 100.0 >= BEHIND;
+        let stands = now - 100.0 >= REWIND_AFTER_S;
         assert_eq!(new.is_behind(), !stands, "at {now}");
         assert_eq!(head.state("a"), Some(Draining));
         assert_eq!(
@@ -110,7 +110,7 @@
 
 /// One true history: at each version the nodes that are listed, and what that version changed.
 struct History {
-    states: Vec<BTreeMap<String, (State, f64)>>,
+    states: Vec<BTreeMap<String, (NodeState, f64)>>,
     changes: Vec<Vec<Entry>>,
 }
 
@@ -141,13 +141,13 @@
         History { states, changes }
     }
 
-    fn whole(&self, version: usize) -> List {
+    fn whole(&self, version: usize) -> EndpointList {
         let entries: Vec<_> = self.states[version].iter().map(|(name, s)| entry(name, s.0, s.1)).collect();
         list(version as u64, true, &entries)
     }
 
     /// What a source that is at a version tells one that asks for what came after another.
-    fn since(&self, version: usize, after: usize, whole: bool) -> Vec<List> {
+    fn since(&self, version: usize, after: usize, whole: bool) -> Vec<EndpointList> {
         match after > version || whole {
             true => vec![self.whole(version)],
             false => (after + 1..=version).map(|v| list(v as u64, false, &self.changes[v])).collect(),
@@ -161,8 +161,8 @@
 }
 
 /// A head that takes each list as it comes, as a checker has to catch it.
-fn as_it_comes(holds: &mut BTreeMap<String, State>, list: &List) {
-    if list.all {
+fn as_it_comes(holds: &mut BTreeMap<String, NodeState>, list: &EndpointList) {
+    if list.is_snapshot {
         holds.clear();
     }
     for entry in &list.entries {
@@ -179,7 +179,7 @@
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let history = History::draw(&mut chance, 40);
     let (mut head, mut told, mut now) = (Head::default(), 0, 0);
-    let mut sources = [(Source::default(), 0), (Source::default(), 0)];
+    let mut sources = [(SourceCursor::default(), 0), (SourceCursor::default(), 0)];
     let mut late = 0;
     for _ in 0..200 {
         now = (now + usize::from(chance.random_bool(0.3))).min(39);
@@ -195,16 +195,16 @@
             if naive {
                 as_it_comes(&mut head.holds, &whole);
             }
-            head.hear_unless(naive, whole, &mut Source::default(), now as f64);
-            sources.iter_mut().for_each(|(source, _)| *source = Source::at(known as u64));
+            head.hear_unless(naive, whole, &mut SourceCursor::default(), now as f64);
+            sources.iter_mut().for_each(|(source, _)| *source = SourceCursor::at(known as u64));
             continue;
         }
         let whole = chance.random_bool(0.2);
-        for list in history.since(*at, source.cursor() as usize, whole) {
-            let version = list.rev as usize;
+        for list in history.since(*at, source.version() as usize, whole) {
+            let version = list.version as usize;
             if naive {
                 as_it_comes(&mut head.holds, &list);
-                *source = Source::at(list.rev);
+                *source = SourceCursor::at(list.version);
             }
             head.hear_unless(naive, list, source, now as f64);
             told = told.max(version);
@@ -213,18 +213,19 @@
         }
     }
     let (source, _) = &mut sources[0];
-    for list in history.since(39, source.cursor() as usize, true) {
+    for list in history.since(39, source.version() as usize, true) {
         if naive {
             as_it_comes(&mut head.holds, &list);
         }
         head.hear_unless(naive, list, source, 40.0);
     }
-    let truth: BTreeMap<String, State> = history.states[39].iter().map(|(n, s)| (n.clone(), s.0)).collect();
+    let truth: BTreeMap<String, NodeState> =
+        history.states[39].iter().map(|(n, s)| (n.clone(), s.0)).collect();
     (late, head.holds == truth)
 }
 
 impl Head {
-    fn hear_unless(&mut self, naive: bool, list: List, source: &mut Source, now: f64) {
+    fn hear_unless(&mut self, naive: bool, list: EndpointList, source: &mut SourceCursor, now: f64) {
         if !naive {
             self.hear(list, source, now);
         }
@@ -246,7 +247,7 @@
 /// Guards against names without end, and against a list of a size that a larger fleet has.
 #[test]
 fn lists_of_a_thousand_names_stand_and_what_left_is_forgotten_in_the_end() {
-    let (mut head, mut source) = (Head::default(), Source::default());
+    let (mut head, mut source) = (Head::default(), SourceCursor::default());
     for round in 0..12u64 {
         let names =
             (0..1024).map(|n| entry(&format!("s-{round}-{n}"), Ready, round as f64)).collect::<Vec<_>>();
--- a/crates/membership/tests/wire.rs
+++ b/crates/membership/tests/wire.rs
@@ -1,9 +1,10 @@
 //! Entries that can't be read, between others that can.
 
-use flaxgap_membership::wire::{List, ListError, State};
+use flaxgap_membership::list::{EndpointList, NodeState};
+use flaxgap_membership::wire::ListError;
 
-fn parse(targets: &str) -> Result<List, ListError> {
-    List::parse(format!(r#"{{"rev":7,"all":false,"targets":[{targets}]}}"#).as_bytes())
+fn parse(targets: &str) -> Result<EndpointList, ListError> {
+    EndpointList::parse(format!(r#"{{"rev":7,"all":false,"targets":[{targets}]}}"#).as_bytes())
 }
 
 /// Guards against one bad entry that costs the others their word, and a drain above all.
@@ -22,20 +23,23 @@
         (r#""s-1""#, None),
         (
             r#"{"uid":"s-1","endpoint":"nowhere","pod_group":"x","boot_ms":[],"state":"draining"}"#,
-            Some(State::Draining),
+            Some(NodeState::Draining),
         ),
-        (r#"{"uid":"s-1","endpoint":"127.0.0.1:80","state":"leaving"}"#, Some(State::Draining)),
-        (r#"{"uid":"s-1","endpoint":7,"state":"gone"}"#, Some(State::Gone)),
+        (r#"{"uid":"s-1","endpoint":"127.0.0.1:80","state":"leaving"}"#, Some(NodeState::Draining)),
+        (r#"{"uid":"s-1","endpoint":7,"state":"gone"}"#, Some(NodeState::Gone)),
     ];
     for (text, state) in cases {
         let list = parse(&format!("{text},{good}")).expect(text);
         let (first, last) = (&list.entries[0], &list.entries[list.entries.len() - 1]);
         assert_eq!(
-            (last.name.as_str(), last.state, last.shard, last.boot),
-            ("s-9", State::Draining, Some(3), 1.5)
+            (last.name.as_str(), last.state, last.shard, last.started_at),
+            ("s-9", NodeState::Draining, Some(3), 1.5)
         );
         assert_eq!((list.entries.len() == 2).then_some(first.state), state, "{text}");
-        assert!(state == Some(State::Gone) || list.unread[0].to_string().starts_with("entry 0 ("), "{text}");
+        assert!(
+            state == Some(NodeState::Gone) || list.unreadable[0].to_string().starts_with("entry 0 ("),
+            "{text}"
+        );
     }
 }
 
@@ -47,8 +51,8 @@
            {"uid":"s-2","state":"gone"},{"uid":"s-3","state":"draining"}"#,
     );
     let list = list.expect("a list");
-    assert_eq!(list.unread, []);
-    let read: Vec<_> = list.entries.iter().map(|e| (e.zone.as_str(), e.shard, e.boot)).collect();
+    assert_eq!(list.unreadable, []);
+    let read: Vec<_> = list.entries.iter().map(|e| (e.zone.as_str(), e.shard, e.started_at)).collect();
     assert_eq!(read, [("", Some(0), 0.0), ("", None, 0.0), ("", None, 0.0)]);
 }
 
@@ -57,8 +61,8 @@
 fn a_list_of_which_nothing_can_be_read_is_refused() {
     assert!(matches!(
         parse(r#"{"name":"s-1"},{"name":"s-2"}"#),
-        Err(ListError::Nothing { rev: 7, count: 2, .. })
+        Err(ListError::NoReadableEntry { version: 7, count: 2, .. })
     ));
-    assert!(matches!(List::parse(b"{\"rev\":1"), Err(ListError::Malformed(_))));
+    assert!(matches!(EndpointList::parse(b"{\"version\":1"), Err(ListError::Malformed(_))));
     assert!(parse("").expect("no changes").entries.is_empty());
 }
--- a/src/bin/flaxgap-relay/upstream.rs
+++ b/src/bin/flaxgap-relay/upstream.rs
@@ -2,9 +2,9 @@
 
 use crate::counters::Counters;
 use crate::relay::{Relay, random_seed};
-use flaxgap::discovery::client::{CountedTcp, Query, Subscription, Update};
-use flaxgap::discovery::schedule::PollSchedule;
-use flaxgap::discovery::whole::Whole;
+use flaxgap::discovery::client::{CountedTcp, SourceRequest, WatchEvent, Watcher};
+use flaxgap::discovery::relist::PendingRelist;
+use flaxgap::discovery::schedule::{PollSchedule, SourceKind};
 use flaxgap_distribution::replica::{Applied, ReplicaStatus};
 use flaxgap_membership::compact::CompactList;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 pub struct UpstreamFollower {
     relay: Rc<Relay>,
     /// The requests for the complete list that are still needed.
-    relist: Whole,
+    relist: PendingRelist,
     /// Whether the replica was current when it was last checked.
     was_current: bool,
 }
@@ -29,31 +29,31 @@
 impl UpstreamFollower {
     /// The upstream of a relay, not called yet.
     pub fn new(relay: &Rc<Relay>) -> UpstreamFollower {
-        UpstreamFollower { relay: relay.clone(), relist: Whole::wanted(false), was_current: false }
+        UpstreamFollower { relay: relay.clone(), relist: PendingRelist::none(), was_current: false }
     }
 
     /// Follows the upstream for as long as it is polled.
     pub async fn run(mut self) {
-        let schedule = PollSchedule::new(CALLERS, random_seed(), true, Duration::ZERO);
+        let schedule = PollSchedule::new(CALLERS, random_seed(), SourceKind::SharedServer, Duration::ZERO);
         let dial = CountedTcp(self.relay.counters().clone());
-        let mut subscription = Subscription::new(dial, self.relay.settings().upstream, &schedule);
+        let mut watcher = Watcher::new(dial, self.relay.settings().upstream, &schedule);
         loop {
             tokio::select! {
-                update = subscription.next(|| self.query()) => self.take_update(update, &mut subscription),
+                event = watcher.next_event(|| self.next_request()) => self.on_event(event, &mut watcher),
                 () = self.lease_expired() => {}
-                () = sleep(BACKOFF_RESTART_INTERVAL) => subscription.restart_pauses(),
+                () = sleep(BACKOFF_RESTART_INTERVAL) => watcher.restart_backoff(),
             }
             self.check_status();
         }
     }
 
     /// What the next call has to ask for.
-    fn query(&self) -> Query {
+    fn next_request(&self) -> SourceRequest {
         let replica = self.relay.replica();
-        if self.relist.take() || replica.needs_relist(self.relay.now()) {
-            Query::Whole
+        if self.relist.take_attempt() || replica.needs_relist(self.relay.now()) {
+            SourceRequest::List
         } else {
-            Query::Since(replica.upstream_version())
+            SourceRequest::WatchSince(replica.upstream_version())
         }
     }
 
@@ -66,32 +66,32 @@
         }
     }
 
-    fn take_update(&self, update: Update, subscription: &mut Subscription<'_, CountedTcp<Counters>>) {
-        match update {
-            Update::List(list, query) => {
-                if query == Query::Whole {
-                    self.relist.told();
+    fn on_event(&self, event: WatchEvent, watcher: &mut Watcher<'_, CountedTcp<Counters>>) {
+        match event {
+            WatchEvent::List { list, request } => {
+                if request == SourceRequest::List {
+                    self.relist.complete();
                 }
                 self.apply_list(list);
             }
-            Update::Alive => self.relay.replica_mut().renew_lease(self.relay.now()),
-            Update::Unread(error) => {
+            WatchEvent::Heartbeat => self.relay.replica_mut().renew_lease(self.relay.now()),
+            WatchEvent::Unreadable(error) => {
                 log::warn!("relay: unparsed message from upstream, error={error}");
                 self.relay.counters().unparsed.add(1);
-                self.relist.lost();
-                subscription.request_soon();
+                self.relist.request();
+                watcher.schedule_call_soon();
             }
-            Update::Lost | Update::Ended { .. } => {}
-            Update::Silent(duration) => log::warn!("relay: upstream idle, duration={duration:?}"),
+            WatchEvent::WatchLost | WatchEvent::CallEnded { .. } => {}
+            WatchEvent::SourceSilent(duration) => log::warn!("relay: upstream idle, duration={duration:?}"),
         }
         if self.relay.replica().needs_relist(self.relay.now()) {
-            subscription.forget_known_list();
-            subscription.request_soon();
+            watcher.forget_known_list();
+            watcher.schedule_call_soon();
         }
     }
 
     fn apply_list(&self, list: CompactList) {
-        let unparsed = list.unread.len() as u64;
+        let unparsed = list.unreadable.len() as u64;
         self.relay.counters().unparsed.add(unparsed);
         let applied = self.relay.replica_mut().apply(list.into(), self.relay.now());
         match applied {
--- a/src/daemon/build.rs
+++ b/src/daemon/build.rs
@@ -7,7 +7,7 @@
 use crate::core::{Clock, Dispatcher};
 use crate::discovery::EndpointDirectory;
 use crate::discovery::relays::settings::DistributionSettings;
-use crate::discovery::schedule::PollSchedule;
+use crate::discovery::schedule::{PollSchedule, SourceKind};
 use crate::exclusions::Exclusions;
 use crate::frontend::admin::AdminServer;
 use crate::frontend::block::BlockFrontend;
@@ -244,10 +244,11 @@
 
 /// When the head asks for the endpoint list.
 fn poll_schedule(config: &Config, follows_relays: bool) -> PollSchedule {
+    let is_shared = config.settings.poll_interval_s.is_some() || follows_relays;
     PollSchedule::new(
         config.settings.heads,
         config.seed,
-        config.settings.poll_interval_s.is_some() || follows_relays,
+        if is_shared { SourceKind::SharedServer } else { SourceKind::LocalAgent },
         crate::core::seconds(config.wire_settings.drain_grace),
     )
 }
--- a/src/daemon/endpoint_list.rs
+++ b/src/daemon/endpoint_list.rs
@@ -7,8 +7,8 @@
 use crate::discovery::relays::RelayFollower;
 use crate::discovery::relays::settings::DistributionSettings;
 use crate::scheduler::UpdateKind;
-use flaxgap_membership::Source;
-use flaxgap_membership::wire::List;
+use flaxgap_membership::SourceCursor;
+use flaxgap_membership::list::EndpointList;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
@@ -71,7 +71,7 @@
 /// Applies the cached list, if there is one; whether the head can serve with it.
 fn apply_cached_list(directory: &Rc<EndpointDirectory>, cached_list: Option<serde_json::Value>) -> bool {
     let Some(cached_list) = cached_list else { return false };
-    let list = match List::from_value(cached_list) {
+    let list = match EndpointList::from_value(cached_list) {
         Ok(list) => list,
         Err(problem) => {
             log::warn!("daemon: known list: {problem}");
@@ -79,15 +79,15 @@
         }
     };
     let has_endpoints = !list.entries.is_empty();
-    directory.apply(list, &mut Source::default(), UpdateKind::CachedSnapshot);
+    directory.apply(list, &mut SourceCursor::default(), UpdateKind::CachedSnapshot);
     has_endpoints
 }
 
 /// Waits for the first list from the source; with a cached list, no longer than the timeout at the start.
 async fn wait_for_list(directory: &EndpointDirectory, cached_list_serves: bool) {
     if !cached_list_serves {
-        directory.heard().await;
-    } else if timeout(directory.start_patience(), directory.heard()).await.is_err() {
+        directory.synced().await;
+    } else if timeout(directory.start_timeout(), directory.synced()).await.is_err() {
         log::warn!("daemon: in service with the list of an earlier life{}", relay_details(directory));
     }
 }
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -94,7 +94,7 @@
         self.parts.memory.set_limit(config.limits.memory_mb);
         if self.parts.shedding.configure(shedding) {
             // The new monitor has no node's state yet: the directory reports it again.
-            self.parts.directory.bans_changed();
+            self.parts.directory.on_exclusions_changed();
         }
         log::info!("daemon: reloaded, discovery at {}", config.discovery);
         self.discovery.send_if_modified(|address| {
--- a/src/discovery/client/counted.rs
+++ b/src/discovery/client/counted.rs
@@ -1,6 +1,6 @@
-//! Connections to discovery over TCP, with what goes over them counted.
+//! TCP connections to list sources, whose traffic is counted.
 
-use super::Dial;
+use super::connect::Connect;
 use crate::metrics::counters::Counters;
 use std::io;
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// The system holds so many bytes of an answer that are not read yet, or twice that: what is dropped after its first bytes
-/// has not come in full by then. A list of 1.3 MB takes some 40 round trips.
+/// Receive buffer of a connection, in bytes; the system may double it. A snapshot that is skipped after its first bytes
+/// has not been received in full by then. A list of 1.3 MB takes some 40 round trips.
 const RECEIVE_BUFFER: u32 = 32 * 1024;
 
-/// So many bytes are read before more are: the head of an answer and the first fields of a list, by which most whole lists
-/// are dropped.
+/// Size of a connection's first reads together, in bytes: the head of the answer and the first fields of a list, by which
+/// most snapshots are skipped.
 const FIRST_BYTES: usize = 512;
 
-/// Counts what the calls to a source of the list take.
+/// Counters of the calls to list sources.
 pub trait Traffic: 'static {
-    /// A connection is begun.
+    /// Counts a connection attempt.
     fn add_call(&self);
-    /// So many bytes were read.
+    /// Counts bytes that were read.
     fn add_received(&self, bytes: u64);
-    /// So many bytes were written.
+    /// Counts bytes that were written.
     fn add_sent(&self, bytes: u64);
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Connects over TCP.
+/// Connects over TCP and counts the traffic.
 pub struct CountedTcp<T>(pub Rc<T>);
 
 impl<T> Clone for CountedTcp<T> {
@@ -51,16 +51,16 @@
     }
 }
 
-impl<T: Traffic> Dial for CountedTcp<T> {
+impl<T: Traffic> Connect for CountedTcp<T> {
     type Stream = CountedStream<T>;
 
-    async fn dial(&self, address: SocketAddr) -> io::Result<CountedStream<T>> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<CountedStream<T>> {
         self.0.add_call();
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_recv_buffer_size(RECEIVE_BUFFER)?;
         let stream = socket.connect(address).await?;
         stream.set_nodelay(true)?;
-        Ok(CountedStream { stream, traffic: self.0.clone(), first_bytes: FIRST_BYTES })
+        Ok(CountedStream { stream, traffic: self.0.clone(), first_bytes_left: FIRST_BYTES })
     }
 }
 
@@ -69,16 +69,16 @@
     stream: TcpStream,
     traffic: Rc<T>,
     /// What is left of [`FIRST_BYTES`].
-    first_bytes: usize,
+    first_bytes_left: usize,
 }
 
 impl<T> CountedStream<T> {
-    fn poll_first_bytes(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read_first_bytes(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut bytes = [0; FIRST_BYTES];
-        let mut first = ReadBuf::new(&mut bytes[..self.first_bytes.min(buf.remaining())]);
+        let mut first = ReadBuf::new(&mut bytes[..self.first_bytes_left.min(buf.remaining())]);
         ready!(Pin::new(&mut self.stream).poll_read(cx, &mut first))?;
         buf.put_slice(first.filled());
-        self.first_bytes -= first.filled().len();
+        self.first_bytes_left -= first.filled().len();
         Poll::Ready(Ok(()))
     }
 }
@@ -90,9 +90,9 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        match self.first_bytes {
+        match self.first_bytes_left {
             0 => ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?,
-            _ => ready!(self.poll_first_bytes(cx, buf))?,
+            _ => ready!(self.poll_read_first_bytes(cx, buf))?,
         }
         self.traffic.add_received((buf.filled().len() - before) as u64);
         Poll::Ready(Ok(()))
--- a/src/discovery/client/tests.rs
+++ b/src/discovery/client/tests.rs
@@ -3,11 +3,13 @@
 mod whole_lists;
 
 use super::*;
+use crate::discovery::schedule::{PollSchedule, SourceKind};
 use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
-use tokio::task::LocalSet;
-use tokio::time::sleep;
+use tokio::task::{LocalSet, spawn_local};
+use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 const GRACE: Duration = Duration::from_millis(250);
 const EVERY: Duration = Duration::from_micros(62_500);
@@ -135,10 +137,10 @@
     stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).await
 }
 
-impl Dial for Rc<Agent> {
+impl Connect for Rc<Agent> {
     type Stream = DuplexStream;
 
-    async fn dial(&self, _: SocketAddr) -> io::Result<DuplexStream> {
+    async fn connect(&self, _: SocketAddr) -> io::Result<DuplexStream> {
         self.calls.borrow_mut().push(Instant::now());
         let out = self.out();
         match self.silence {
@@ -194,11 +196,11 @@
         if !old_speaks && draw(3) == 0 {
             sleep_until(down + lasts.mul_f64(draw(1000) as f64 / 1000.0)).await;
         }
-        let schedule = PollSchedule::new(300, seed, false, GRACE);
-        let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+        let schedule = PollSchedule::new(300, seed, SourceKind::LocalAgent, GRACE);
+        let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         loop {
-            match subscription.next(|| Query::Since(1)).await {
-                Update::List(list, _) if list.rev == 2 => break,
+            match watcher.next_event(|| SourceRequest::WatchSince(1)).await {
+                WatchEvent::List { list, .. } if list.version == 2 => break,
                 _ => assert!(up.elapsed() < Duration::from_secs(30), "{silence:?}, seed {seed}: never heard"),
             }
         }
@@ -222,7 +224,11 @@
                 "{silence:?}, seed {seed}: {:?}",
                 played.late
             );
-            assert!(played.most_out <= MOST_OUT + 2, "{silence:?}, seed {seed}: {}", played.most_out);
+            assert!(
+                played.most_out <= MAX_CALLS_IN_FLIGHT + 2,
+                "{silence:?}, seed {seed}: {}",
+                played.most_out
+            );
             (most, sum) = (most.max(played.late), sum + played.late);
             // Calls in any second: an agent that refuses or closes is not hammered.
             for (n, at) in played.calls.iter().enumerate() {
@@ -250,9 +256,9 @@
 fn an_agent_that_is_slow_is_heard() {
     #[derive(Clone)]
     struct Slow;
-    impl Dial for Slow {
+    impl Connect for Slow {
         type Stream = DuplexStream;
-        async fn dial(&self, _: SocketAddr) -> io::Result<DuplexStream> {
+        async fn connect(&self, _: SocketAddr) -> io::Result<DuplexStream> {
             sleep(Duration::from_millis(900)).await;
             let (near, mut far) = duplex(4096);
             spawn_local(async move {
@@ -266,10 +272,10 @@
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let (schedule, began) = (PollSchedule::new(1, 1, false, GRACE), Instant::now());
-        let mut subscription = Subscription::new(Slow, ([127, 0, 0, 1], 1).into(), &schedule);
-        let news = subscription.next(|| Query::Since(1)).await;
-        assert!(matches!(&news, Update::List(list, _) if list.rev == 2), "{news:?}");
+        let (schedule, began) = (PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE), Instant::now());
+        let mut watcher = Watcher::new(Slow, ([127, 0, 0, 1], 1).into(), &schedule);
+        let news = watcher.next_event(|| SourceRequest::WatchSince(1)).await;
+        assert!(matches!(&news, WatchEvent::List { list, .. } if list.version == 2), "{news:?}");
         assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
     });
 }
@@ -280,9 +286,9 @@
 fn a_whole_list_in_pieces_is_heard_and_followed() {
     #[derive(Clone)]
     struct Pieces;
-    impl Dial for Pieces {
+    impl Connect for Pieces {
         type Stream = DuplexStream;
-        async fn dial(&self, _: SocketAddr) -> io::Result<DuplexStream> {
+        async fn connect(&self, _: SocketAddr) -> io::Result<DuplexStream> {
             let (near, mut far) = duplex(4096);
             spawn_local(async move {
                 let mut head = [0; 1024];
@@ -302,19 +308,22 @@
             Ok(near)
         }
     }
-    for shared in [true, false] {
+    for kind in [SourceKind::SharedServer, SourceKind::LocalAgent] {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-            let schedule = PollSchedule::new(1, 1, shared, GRACE);
-            let mut subscription = Subscription::new(Pieces, ([127, 0, 0, 1], 1).into(), &schedule);
+            let schedule = PollSchedule::new(1, 1, kind, GRACE);
+            let mut watcher = Watcher::new(Pieces, ([127, 0, 0, 1], 1).into(), &schedule);
             let (mut told, began) = (0, Instant::now());
             while told < 2 {
-                match subscription.next(|| if told == 0 { Query::Whole } else { Query::Since(1) }).await {
-                    Update::List(list, _) => told = list.rev,
-                    _ => assert!(began.elapsed() < Duration::from_secs(2), "shared: {shared}, at {told}"),
+                match watcher
+                    .next_event(|| if told == 0 { SourceRequest::List } else { SourceRequest::WatchSince(1) })
+                    .await
+                {
+                    WatchEvent::List { list, .. } => told = list.version,
+                    _ => assert!(began.elapsed() < Duration::from_secs(2), "{kind:?}, at {told}"),
                 }
             }
-            assert!(began.elapsed() < Duration::from_millis(200), "shared: {shared}: {:?}", began.elapsed());
+            assert!(began.elapsed() < Duration::from_millis(200), "{kind:?}: {:?}", began.elapsed());
         });
     }
 }
--- a/src/discovery/client/tests/whole_lists.rs
+++ b/src/discovery/client/tests/whole_lists.rs
@@ -2,6 +2,7 @@
 //! and no change is lost or late by it.
 
 use super::*;
+use crate::discovery::client::call::CallMessage;
 
 /// Renewals that a test watches.
 const RENEWALS: usize = 24;
@@ -73,10 +74,10 @@
     }
 }
 
-impl Dial for Scripted {
+impl Connect for Scripted {
     type Stream = DuplexStream;
 
-    async fn dial(&self, _: SocketAddr) -> io::Result<DuplexStream> {
+    async fn connect(&self, _: SocketAddr) -> io::Result<DuplexStream> {
         let steps = (self.script)(self.calls.replace(self.calls.get() + 1));
         if matches!(steps.first(), Some(Refuse)) {
             return Err(io::ErrorKind::ConnectionRefused.into());
@@ -95,18 +96,15 @@
 }
 
 /// The versions of the lists that come until `until` holds, with the state that they have `s-1` in.
-async fn lists_until(
-    subscription: &mut Subscription<'_, Scripted>,
-    until: impl Fn() -> bool,
-) -> Vec<(u64, State)> {
+async fn lists_until(watcher: &mut Watcher<'_, Scripted>, until: impl Fn() -> bool) -> Vec<(u64, NodeState)> {
     let mut lists = vec![];
     while !until() {
-        match timeout(Duration::from_secs(5), subscription.next(|| Query::Since(1))).await {
-            Ok(Update::List(list, _)) => {
+        match timeout(Duration::from_secs(5), watcher.next_event(|| SourceRequest::WatchSince(1))).await {
+            Ok(WatchEvent::List { list, .. }) => {
                 let first = list.entries().find(|entry| entry.name == "s-1");
-                lists.push((list.rev, first.expect("it names s-1").state));
+                lists.push((list.version, first.expect("it names s-1").state));
             }
-            Ok(Update::Lost) => panic!("the standing watch was lost"),
+            Ok(WatchEvent::WatchLost) => panic!("the standing watch was lost"),
             Ok(_) => {}
             Err(_) => panic!("nothing comes any more, after {lists:?}"),
         }
@@ -114,7 +112,7 @@
     lists
 }
 
-use flaxgap_membership::wire::State;
+use flaxgap_membership::list::NodeState;
 use tokio::time::timeout;
 
 /// The outages of the test beside this one, with an agent that answers each watch with the whole list: the drain at its
@@ -128,7 +126,11 @@
             let played = play_with(silence, false, true, seed);
             let late = played.late;
             assert!(late <= EVERY + Duration::from_millis(2), "{silence:?}, seed {seed}: {late:?}");
-            assert!(played.most_out <= MOST_OUT + 2, "{silence:?}, seed {seed}: {}", played.most_out);
+            assert!(
+                played.most_out <= MAX_CALLS_IN_FLIGHT + 2,
+                "{silence:?}, seed {seed}: {}",
+                played.most_out
+            );
             (most, sum) = (most.max(late), sum + late);
         }
         println!("{silence:?}: {most:?} at most, {:?} on average", sum / SEEDS as u32);
@@ -157,11 +159,11 @@
                     Hold,
                 ],
             });
-            let schedule = PollSchedule::new(1, 1, false, GRACE);
-            let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+            let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+            let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
             let calls = agent.calls.clone();
-            let lists = lists_until(&mut subscription, || Instant::now() >= news).await;
-            assert_eq!(lists, [(1, State::Ready), (2, State::Draining)], "cut at {cut}");
+            let lists = lists_until(&mut watcher, || Instant::now() >= news).await;
+            assert_eq!(lists, [(1, NodeState::Ready), (2, NodeState::Draining)], "cut at {cut}");
             assert!(Instant::now() - news < Duration::from_millis(1), "cut at {cut}");
             assert!(calls.get() >= 23, "{} renewals", calls.get());
             assert!(agent.written.get() < 3 * text(1, "ready").len() + calls.get() * cut);
@@ -175,13 +177,13 @@
 fn a_dropped_renewal_is_not_transferred_and_proves_life() {
     in_virtual_time(|| async {
         let agent = Scripted::new(|_| vec![Write(text(1, "ready")), Hold]);
-        let schedule = PollSchedule::new(1, 1, false, GRACE);
-        let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+        let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+        let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let (mut lists, mut alive, end) = (0, 0, Instant::now() + Duration::from_secs(8));
         while Instant::now() < end {
-            match subscription.next(|| Query::Since(1)).await {
-                Update::List(..) => lists += 1,
-                Update::Alive => alive += 1,
+            match watcher.next_event(|| SourceRequest::WatchSince(1)).await {
+                WatchEvent::List { .. } => lists += 1,
+                WatchEvent::Heartbeat => alive += 1,
                 other => panic!("{other:?}"),
             }
         }
@@ -210,11 +212,11 @@
                     _ => vec![Write(text(rev, "draining")), Hold],
                 }
             });
-            let schedule = PollSchedule::new(1, 1, false, GRACE);
-            let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+            let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+            let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
             let calls = agent.calls.clone();
-            let lists = lists_until(&mut subscription, || calls.get() >= RENEWALS).await;
-            let expected = [(1, State::Ready), (rev, State::Draining), (rev + 1, State::Ready)];
+            let lists = lists_until(&mut watcher, || calls.get() >= RENEWALS).await;
+            let expected = [(1, NodeState::Ready), (rev, NodeState::Draining), (rev + 1, NodeState::Ready)];
             assert_eq!(lists[..3], expected, "version {rev}, cut at {cut}");
         });
     }
@@ -251,26 +253,31 @@
                 true => script(number),
                 false => other(),
             });
-            let schedule = PollSchedule::new(1, 1, false, GRACE);
-            let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+            let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+            let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
             let mut states = vec![];
             while agent.calls.get() < changes_at + 3 {
-                if let Update::List(list, _) = subscription.next(|| Query::Since(1)).await {
+                if let WatchEvent::List { list, .. } =
+                    watcher.next_event(|| SourceRequest::WatchSince(1)).await
+                {
                     states.extend(list.entries().find(|entry| entry.name == "s-1").map(|entry| entry.state));
                 }
             }
-            assert_eq!(states, [State::Ready, State::Draining], "{what}");
+            assert_eq!(states, [NodeState::Ready, NodeState::Draining], "{what}");
         });
     }
     // A source that is behind what is known from elsewhere is read in full each time.
     in_virtual_time(|| async move {
         let agent = Scripted::new(move |_| vec![Write(ready()), Hold]);
-        let schedule = PollSchedule::new(1, 1, false, GRACE);
-        let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+        let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+        let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let mut lists = 0;
         while agent.calls.get() < RENEWALS {
-            lists += usize::from(matches!(subscription.next(|| Query::Since(1)).await, Update::List(..)));
-            subscription.forget_known_list();
+            lists += usize::from(matches!(
+                watcher.next_event(|| SourceRequest::WatchSince(1)).await,
+                WatchEvent::List { .. }
+            ));
+            watcher.forget_known_list();
         }
         assert!(lists >= RENEWALS - 2, "{lists} of {RENEWALS}");
     });
@@ -289,12 +296,12 @@
                 Hold,
             ],
         });
-        let schedule = PollSchedule::new(1, 1, true, GRACE);
-        let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+        let schedule = PollSchedule::new(1, 1, SourceKind::SharedServer, GRACE);
+        let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let mut lists = vec![];
         while lists.last() != Some(&2) {
-            if let Update::List(list, _) = subscription.next(|| Query::Since(1)).await {
-                lists.push(list.rev);
+            if let WatchEvent::List { list, .. } = watcher.next_event(|| SourceRequest::WatchSince(1)).await {
+                lists.push(list.version);
             }
         }
         assert_eq!((lists, agent.calls.get()), (vec![1, 2], 2));
@@ -316,11 +323,11 @@
             }
             _ => vec![Hold],
         });
-        let schedule = PollSchedule::new(1, 1, false, GRACE);
-        let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+        let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+        let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let calls = agent.calls.clone();
-        let lists = lists_until(&mut subscription, || calls.get() >= 6).await;
-        assert_eq!(lists, [(1, State::Ready), (2, State::Draining)]);
+        let lists = lists_until(&mut watcher, || calls.get() >= 6).await;
+        assert_eq!(lists, [(1, NodeState::Ready), (2, NodeState::Draining)]);
     });
 }
 
@@ -329,12 +336,12 @@
 fn a_dropped_renewal_whose_version_is_in_doubt_proves_nothing() {
     in_virtual_time(|| async {
         let agent = Scripted::new(|_| vec![Hold]);
-        let schedule = PollSchedule::new(1, 1, false, GRACE);
-        let mut subscription = Subscription::new(agent, ([127, 0, 0, 1], 1).into(), &schedule);
-        for (droppable, proves) in [(Some(7), true), (Some(8), false), (None, false)] {
-            subscription.droppable.set(droppable);
-            let update = subscription.on_message(1, CallMessage::KnownVersion(7));
-            assert_eq!(update.is_some(), proves, "{droppable:?}");
+        let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+        let mut watcher = Watcher::new(agent, ([127, 0, 0, 1], 1).into(), &schedule);
+        for (skippable, proves) in [(Some(7), true), (Some(8), false), (None, false)] {
+            watcher.skippable.set(skippable);
+            let event = watcher.on_message(1, CallMessage::SkippedSnapshot(7));
+            assert_eq!(event.is_some(), proves, "{skippable:?}");
         }
     });
 }
@@ -348,16 +355,16 @@
             3 => vec![Write(text(1, "draining")), Pause(Duration::from_millis(1)), Write("\n".into()), Hold],
             _ => vec![Write(text(1, "ready")), Hold],
         });
-        let schedule = PollSchedule::new(1, 1, false, GRACE);
-        let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+        let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+        let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let (calls, mut lists) = (agent.calls.clone(), vec![]);
         while calls.get() < 5 {
-            let ask = || if calls.get() == 3 { Query::Whole } else { Query::Since(1) };
-            if let Update::List(list, ask) = subscription.next(ask).await {
-                lists.push((list.rev, ask));
+            let ask = || if calls.get() == 3 { SourceRequest::List } else { SourceRequest::WatchSince(1) };
+            if let WatchEvent::List { list, request: ask } = watcher.next_event(ask).await {
+                lists.push((list.version, ask));
             }
         }
-        assert_eq!(lists[..2], [(1, Query::Since(1)), (1, Query::Whole)]);
+        assert_eq!(lists[..2], [(1, SourceRequest::WatchSince(1)), (1, SourceRequest::List)]);
     });
 }
 
@@ -367,13 +374,13 @@
 fn a_watch_stands_before_any_is_dropped() {
     in_virtual_time(|| async {
         let agent = Scripted::new(|_| vec![Write(text(1, "ready")), Write("\n".into()), Hold]);
-        let schedule = PollSchedule::new(1, 1, false, GRACE);
-        let mut subscription = Subscription::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
+        let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+        let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let calls = agent.calls.clone();
         while calls.get() < 6 {
-            let ask = || if calls.get() == 0 { Query::Whole } else { Query::Since(1) };
-            subscription.next(ask).await;
+            let ask = || if calls.get() == 0 { SourceRequest::List } else { SourceRequest::WatchSince(1) };
+            watcher.next_event(ask).await;
         }
-        assert!(subscription.standing.is_some());
+        assert!(watcher.calls.has_current_watch());
     });
 }
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -1,17 +1,17 @@
 //! Discovery: the whole node list, then a watch on its changes, for as long as the program runs.
 
-use super::client::{CountedTcp, Dial, Query, Subscription, Update};
+use super::client::{Connect, CountedTcp, SourceRequest, WatchEvent, Watcher};
 use crate::core::{Clock, Dispatcher};
+use crate::discovery::relist::PendingRelist;
 use crate::discovery::schedule::PollSchedule;
-use crate::discovery::whole::Whole;
 use crate::exclusions::Exclusions;
 use crate::metrics::counters::Counters;
 use crate::node::{NodeAddress, NodeTransport};
 use crate::scheduler::{Endpoint, Event, NodeId, NodeState, ShardId, UpdateKind, ZoneId};
 use flaxgap_distribution::update_filter::UpdateFilter;
 use flaxgap_membership::compact::CompactList;
-use flaxgap_membership::wire::State;
-use flaxgap_membership::{Membership, Node, NodeChange, Source};
+use flaxgap_membership::list::NodeState as ListedState;
+use flaxgap_membership::{ListedNode, Membership, NodeChange, SourceCursor};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -85,14 +85,14 @@
     }
 
     /// Waits until discovery itself has given a list.
-    pub async fn heard(&self) {
+    pub async fn synced(&self) {
         // The sender lives in `self`, so the wait can't fail.
         let _ = self.heard.subscribe().wait_for(|heard| *heard).await;
     }
 
     /// How long a start with the list of an earlier life waits for discovery.
-    pub fn start_patience(&self) -> Duration {
-        self.schedule.start()
+    pub fn start_timeout(&self) -> Duration {
+        self.schedule.start_timeout()
     }
 
     /// How many nodes are on the list, and how many of them get no work; for how many seconds the list has stood as it is,
@@ -100,7 +100,8 @@
     pub fn gauges(&self) -> Vec<(&'static str, usize)> {
         let membership = self.membership.borrow();
         let banned = self.bans.known_names().into_iter().filter(|name| self.bans.contains(name));
-        let ready = |name: &String| membership.node(name).is_some_and(|node| node.state == State::Ready);
+        let ready =
+            |name: &String| membership.node(name).is_some_and(|node| node.state == ListedState::Ready);
         let excluded = membership.len() - membership.ready() + banned.filter(ready).count();
         let seconds = |at: &Cell<Instant>| at.get().elapsed().as_secs() as usize;
         let mut gauges = vec![
@@ -114,7 +115,7 @@
     }
 
     /// Takes a node out by hand, or calls it back; false for one that was never listed.
-    pub fn ban(&self, name: &str, out: bool) -> io::Result<bool> {
+    pub fn set_excluded(&self, name: &str, out: bool) -> io::Result<bool> {
         let known = self.membership.borrow().knows(name) || self.bans.known_names().iter().any(|n| n == name);
         if known {
             let now = self.dispatcher.clock().now();
@@ -124,21 +125,21 @@
                 self.bans.readmit(name, now)?;
             }
             log::info!("discovery: {name}: {} by hand", if out { "out" } else { "back" });
-            self.bans_changed();
+            self.on_exclusions_changed();
         }
         Ok(known)
     }
 
     /// Tells transport and module what the bans make of the list.
-    pub fn bans_changed(&self) {
-        let nodes: Vec<Node> = self.membership.borrow().nodes().collect();
+    pub fn on_exclusions_changed(&self) {
+        let nodes: Vec<ListedNode> = self.membership.borrow().nodes().collect();
         let nodes = nodes.iter().map(|node| self.settle(node)).collect();
         self.dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints: nodes }]);
     }
 
     /// A listed node as it is to be used, told to the transport: one that is out is left as one that drains
     /// is, and one that is back has started anew, whatever the list says yet.
-    fn settle(&self, node: &Node) -> Endpoint {
+    fn settle(&self, node: &ListedNode) -> Endpoint {
         let mut info = node_info(node);
         if self.bans.contains(&node.name) {
             info.state = NodeState::Draining;
@@ -156,7 +157,7 @@
     }
 
     /// A node that is gone, or has left this shard's queue; the transport forgets it.
-    fn withdraw(&self, node: &Node) -> Endpoint {
+    fn withdraw(&self, node: &ListedNode) -> Endpoint {
         let info = Endpoint { state: NodeState::Gone, ..node_info(node) };
         self.nodes.remove_node(info.node);
         info
@@ -164,11 +165,11 @@
 
     /// Takes in a list: the transport first, so that nothing is written to a node that just left. Only what changes is
     /// told to transport and module, one by one, also of a whole list.
-    pub fn apply(&self, list: impl Into<CompactList>, source: &mut Source, kind: UpdateKind) {
+    pub fn apply(&self, list: impl Into<CompactList>, source: &mut SourceCursor, kind: UpdateKind) {
         let list = list.into();
         let now = self.dispatcher.clock().now();
         let first = kind == UpdateKind::CachedSnapshot || !*self.heard.borrow();
-        if list.is_empty() && list.unread.is_empty() && !list.all && !first {
+        if list.is_empty() && list.unreadable.is_empty() && !list.is_snapshot && !first {
             self.membership.borrow_mut().apply(&list, source, now);
             return self.in_force();
         }
@@ -186,22 +187,26 @@
     }
 
     fn report_unread(&self, list: &CompactList) {
-        for unread in list.unread.iter().take(LOGGED) {
-            log::warn!("discovery: version {}, {unread}", list.rev);
+        for unread in list.unreadable.iter().take(LOGGED) {
+            log::warn!("discovery: version {}, {unread}", list.version);
         }
-        if list.unread.len() > LOGGED {
-            log::warn!("discovery: version {}, {} more can't be read", list.rev, list.unread.len() - LOGGED);
+        if list.unreadable.len() > LOGGED {
+            log::warn!(
+                "discovery: version {}, {} more can't be read",
+                list.version,
+                list.unreadable.len() - LOGGED
+            );
         }
-        self.counters.bad_input.add_many(list.unread.len() as u64);
+        self.counters.bad_input.add_many(list.unreadable.len() as u64);
     }
 
     /// What a change makes of the nodes that module and transport know. One that holds another shard than before has
     /// left the queue that it had.
     fn change(&self, change: NodeChange) -> impl Iterator<Item = Endpoint> + use<> {
         let (left, stays) = match &change {
-            NodeChange::Departed(node) => (Some(self.withdraw(node)), None),
-            NodeChange::Updated { node, left_shard } => {
-                let left = left_shard.map(|shard| self.withdraw(&Node { shard, ..node.clone() }));
+            NodeChange::Removed(node) => (Some(self.withdraw(node)), None),
+            NodeChange::Updated { node, previous_shard } => {
+                let left = previous_shard.map(|shard| self.withdraw(&ListedNode { shard, ..node.clone() }));
                 (left, Some(self.settle(node)))
             }
         };
@@ -212,10 +217,10 @@
     /// or, where none is, from the first whole list that is given.
     pub async fn follow(&self, mut source: watch::Receiver<SocketAddr>, known: bool) {
         if known {
-            sleep(self.schedule.first()).await;
+            sleep(self.schedule.initial_delay()).await;
         }
         let mut since = if known { self.version() } else { 0 };
-        let mut whole = Whole::wanted(!known);
+        let mut whole = if known { PendingRelist::none() } else { PendingRelist::until_listed() };
         loop {
             let address = *source.borrow_and_update();
             tokio::select! {
@@ -223,7 +228,7 @@
                 () = self.moved(&mut source) => {}
                 () = self.keep(address, since, whole, |_| false) => {}
             }
-            (since, whole) = (self.version(), Whole::wanted(false));
+            (since, whole) = (self.version(), PendingRelist::none());
         }
     }
 
@@ -238,11 +243,11 @@
         }
         loop {
             let address = *source.borrow_and_update();
-            let caught_up = |source: &Source| !source.is_behind();
+            let caught_up = |source: &SourceCursor| !source.is_behind();
             tokio::select! {
                 biased;
                 _ = source.changed() => {}
-                () = self.keep(address, 0, Whole::wanted(true), caught_up) => {
+                () = self.keep(address, 0, PendingRelist::until_listed(), caught_up) => {
                     let version = self.membership.borrow().version();
                     return log::info!("discovery: now at {address}, version {version}");
                 }
@@ -251,57 +256,69 @@
     }
 
     /// Keeps in touch with one address until what it told is `enough`, which is asked once its list is in.
-    async fn keep(&self, address: SocketAddr, since: u64, whole: Whole, enough: impl Fn(&Source) -> bool) {
-        let mut subscription = Subscription::new(self.dial(), address, &self.schedule);
+    async fn keep(
+        &self,
+        address: SocketAddr,
+        since: u64,
+        whole: PendingRelist,
+        enough: impl Fn(&SourceCursor) -> bool,
+    ) {
+        let mut watcher = Watcher::new(self.connector(), address, &self.schedule);
         let mut progress = Progress { whole, ..Progress::since(address, since) };
         loop {
-            let update = self.next_update(&mut subscription, &mut progress).await;
-            let is_list = matches!(update, Update::List(..));
-            self.take_update(update, &mut progress, &mut subscription);
-            if is_list && !progress.whole.is_wanted() && enough(progress.intake.source()) {
+            let update = self.next_update(&mut watcher, &mut progress).await;
+            let is_list = matches!(update, WatchEvent::List { .. });
+            self.take_update(update, &mut progress, &mut watcher);
+            if is_list && !progress.whole.is_pending() && enough(progress.intake.source()) {
                 return;
             }
         }
     }
 
-    /// Waits for what a subscription tells next; calls that fall due meanwhile ask for what is missing.
-    pub(super) async fn next_update<D: Dial>(
+    /// Waits for what a watcher tells next; calls that fall due meanwhile ask for what is missing.
+    pub(super) async fn next_update<D: Connect>(
         &self,
-        subscription: &mut Subscription<'_, D>,
+        watcher: &mut Watcher<'_, D>,
         progress: &mut Progress,
-    ) -> Update {
+    ) -> WatchEvent {
         let anew = progress.intake.needs_relist(self.dispatcher.clock().now());
         let since = progress.since;
-        let query = || if anew || progress.whole.take() { Query::Whole } else { Query::Since(since) };
-        let update = subscription.next(query).await;
-        if matches!(update, Update::List(..) | Update::Alive) {
+        let request = || {
+            if anew || progress.whole.take_attempt() {
+                SourceRequest::List
+            } else {
+                SourceRequest::WatchSince(since)
+            }
+        };
+        let update = watcher.next_event(request).await;
+        if matches!(update, WatchEvent::List { .. } | WatchEvent::Heartbeat) {
             self.last_message.set(Instant::now());
             self.counters.discovery_messages.add();
         }
         update
     }
 
-    /// Takes in what a subscription told.
-    pub(super) fn take_update<D: Dial>(
+    /// Takes in what a watcher told.
+    pub(super) fn take_update<D: Connect>(
         &self,
-        update: Update,
+        update: WatchEvent,
         progress: &mut Progress,
-        subscription: &mut Subscription<'_, D>,
+        watcher: &mut Watcher<'_, D>,
     ) {
         match update {
-            Update::List(list, query) => self.take_list(list, query, progress),
-            Update::Alive => {}
-            Update::Unread(problem) => {
+            WatchEvent::List { list, request } => self.take_list(list, request, progress),
+            WatchEvent::Heartbeat => {}
+            WatchEvent::Unreadable(problem) => {
                 log::warn!("discovery: passed over: {problem}");
                 self.counters.bad_input.add();
-                progress.whole.lost();
-                subscription.request_soon();
+                progress.whole.request();
+                watcher.schedule_call_soon();
             }
-            Update::Lost | Update::Ended { opened: true, problem: Some(_) } => {
+            WatchEvent::WatchLost | WatchEvent::CallEnded { opened: true, error: Some(_) } => {
                 self.counters.watches_lost.add()
             }
-            Update::Ended { .. } => {}
-            Update::Silent(span) => {
+            WatchEvent::CallEnded { .. } => {}
+            WatchEvent::SourceSilent(span) => {
                 let (version, age) = (self.version(), self.changed.get().elapsed());
                 log::warn!(
                     "discovery: {} silent for {span:?}; the list is at version {version}, told {age:?} ago",
@@ -310,31 +327,31 @@
             }
         }
         if progress.intake.source().is_behind() {
-            subscription.forget_known_list();
+            watcher.forget_known_list();
         }
         if progress.intake.needs_relist(self.dispatcher.clock().now()) {
-            subscription.request_soon();
+            watcher.schedule_call_soon();
         }
     }
 
-    fn take_list(&self, list: CompactList, query: Query, progress: &mut Progress) {
-        if query == Query::Whole {
-            progress.whole.told();
+    fn take_list(&self, list: CompactList, request: SourceRequest, progress: &mut Progress) {
+        if request == SourceRequest::List {
+            progress.whole.complete();
         }
         let told = progress.intake.source();
-        if !list.is_empty() || list.rev != told.cursor() {
-            let kind = match (query, list.all) {
-                (Query::Whole, _) => "asked for",
+        if !list.is_empty() || list.version != told.version() {
+            let kind = match (request, list.is_snapshot) {
+                (SourceRequest::List, _) => "asked for",
                 (_, true) => "whole",
                 (_, false) => "changes",
             };
-            log::info!("discovery: version {}, {} entries, {kind}", list.rev, list.len());
+            log::info!("discovery: version {}, {} entries, {kind}", list.version, list.len());
         }
         self.apply(list, told, UpdateKind::Changes);
-        progress.since = told.cursor();
+        progress.since = told.version();
         let was_behind = std::mem::replace(&mut progress.behind, told.is_behind());
         if progress.behind && !was_behind {
-            let (version, known) = (told.cursor(), self.version());
+            let (version, known) = (told.version(), self.version());
             log::warn!("discovery: {} is at version {version}, behind {known}", progress.address);
         }
     }
@@ -355,7 +372,7 @@
     }
 
     /// Connects to a source of the list, and counts what passes.
-    pub(super) fn dial(&self) -> CountedTcp<Counters> {
+    pub(super) fn connector(&self) -> CountedTcp<Counters> {
         CountedTcp(self.counters.clone())
     }
 
@@ -376,14 +393,14 @@
     /// The version after which it is asked for changes.
     since: u64,
     intake: UpdateFilter,
-    whole: Whole,
+    whole: PendingRelist,
     behind: bool,
 }
 
 impl Progress {
     /// Of a source that is to be asked for what comes after a version.
     pub(super) fn since(address: SocketAddr, version: u64) -> Progress {
-        let (intake, whole) = (UpdateFilter::new(version), Whole::wanted(false));
+        let (intake, whole) = (UpdateFilter::new(version), PendingRelist::none());
         Progress { address, since: version, intake, whole, behind: false }
     }
 
@@ -400,8 +417,8 @@
 }
 
 /// A listed node as module and transport know it, before the operators' bans.
-fn node_info(node: &Node) -> Endpoint {
-    let state = if node.state == State::Ready { NodeState::Ready } else { NodeState::Draining };
+fn node_info(node: &ListedNode) -> Endpoint {
+    let state = if node.state == ListedState::Ready { NodeState::Ready } else { NodeState::Draining };
     let (id, shard, zone) = (NodeId(u64::from(node.id)), ShardId(node.shard), ZoneId(node.zone));
-    Endpoint { node: id, shard, started_at: node.boot, zone, state }
+    Endpoint { node: id, shard, started_at: node.started_at, zone, state }
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 pub mod client;
 pub mod directory;
 pub mod relays;
+pub mod relist;
 pub mod schedule;
-pub mod whole;
 
 pub use directory::EndpointDirectory;
--- a/src/discovery/relays.rs
+++ b/src/discovery/relays.rs
@@ -6,7 +6,7 @@
 mod watch;
 
 use crate::discovery::directory::EndpointDirectory;
-use crate::discovery::schedule::PollSchedule;
+use crate::discovery::schedule::{PollSchedule, SourceKind};
 use flaxgap_distribution::selection::{Directive, LostReason, RelayListError, Selection, WatchId};
 use settings::DistributionSettings;
 use std::collections::HashMap;
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep_until;
-use watch::{RelayWatch, WatchEvent, WatchReport};
+use watch::{RelayWatch, RelayWatchEvent, WatchReport};
 
 /// Capacity of the channel of reports; watches wait when it is full.
 const REPORT_CAPACITY: usize = 8;
@@ -59,7 +59,7 @@
             directory,
             selection,
             // Only an agent of the head's own is polled by the grace period.
-            schedule: Rc::new(PollSchedule::new(CALLERS, seed, true, Duration::ZERO)),
+            schedule: Rc::new(PollSchedule::new(CALLERS, seed, SourceKind::SharedServer, Duration::ZERO)),
             watches: HashMap::new(),
             tasks: JoinSet::new(),
             report_sender,
@@ -118,8 +118,8 @@
     fn handle_report(&mut self, report: WatchReport) {
         let now = self.directory.clock().now();
         match report.event {
-            WatchEvent::Opened => self.selection.watch_opened(report.watch_id, now),
-            WatchEvent::Lost(reason) => {
+            RelayWatchEvent::Opened => self.selection.watch_opened(report.watch_id, now),
+            RelayWatchEvent::Lost(reason) => {
                 self.log_lost(report.watch_id, reason);
                 self.watches.remove(&report.watch_id);
                 self.selection.watch_lost(report.watch_id, reason, now);
--- a/src/discovery/relays/tests.rs
+++ b/src/discovery/relays/tests.rs
@@ -9,8 +9,8 @@
 use crate::resources::memory::BodyMemory;
 use crate::scheduler::UpdateKind;
 use flaxgap_distribution::selection::{Locality, RelayInfo};
-use flaxgap_membership::Source;
-use flaxgap_membership::wire::List;
+use flaxgap_membership::SourceCursor;
+use flaxgap_membership::list::EndpointList;
 use std::future::Future;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -41,7 +41,7 @@
         NodeTransportSettings { connect_timeout_s: 0.5, node_idle_timeout_s: 15.0, heads: 1 },
     );
     let dispatcher = Dispatcher::new(settings, 1, Clock::start(), counters.clone()).expect("served");
-    let schedule = PollSchedule::new(1, 1, true, Duration::ZERO);
+    let schedule = PollSchedule::new(1, 1, SourceKind::SharedServer, Duration::ZERO);
     EndpointDirectory::new(
         dispatcher,
         nodes,
@@ -131,8 +131,8 @@
         assert!(first.request_line.contains("follow=1&since=0"), "{}", first.request_line);
         first.send_line(&list(1, true, "s-1", "ready")).await;
         wait_for_version(&directory, 1).await;
-        let other = List::parse(list(3, false, "s-1", "draining").as_bytes()).expect("a list");
-        directory.apply(other, &mut Source::at(1), UpdateKind::Changes);
+        let other = EndpointList::parse(list(3, false, "s-1", "draining").as_bytes()).expect("a list");
+        directory.apply(other, &mut SourceCursor::at(1), UpdateKind::Changes);
         first.send_line(&list(4, false, "s-2", "ready")).await;
         let mut second = HeadConnection::accept(&listener).await;
         assert!(second.request_line.contains("follow=1&since=3"), "{}", second.request_line);
@@ -149,10 +149,10 @@
         let mut call = HeadConnection::accept(&listener).await;
         call.send_line("").await;
         let event = timeout(WAIT_LIMIT, reports.recv()).await.expect("in time").expect("a report").event;
-        assert!(matches!(event, WatchEvent::Opened));
+        assert!(matches!(event, RelayWatchEvent::Opened));
         call.stream.write_all(b"0\r\n\r\n").await.expect("written");
         let event = timeout(WAIT_LIMIT, reports.recv()).await.expect("in time").expect("a report").event;
-        assert!(matches!(event, WatchEvent::Lost(LostReason::EndedByRelay)));
+        assert!(matches!(event, RelayWatchEvent::Lost(LostReason::EndedByRelay)));
         let again = timeout(Duration::from_millis(300), listener.accept()).await;
         assert!(again.is_err(), "the watch does not reconnect by itself");
     });
@@ -162,6 +162,6 @@
         let busy = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(busy).await.expect("written");
         let event = timeout(WAIT_LIMIT, reports.recv()).await.expect("in time").expect("a report").event;
-        assert!(matches!(event, WatchEvent::Lost(LostReason::Overloaded { retry_after_s: 7.0 })));
+        assert!(matches!(event, RelayWatchEvent::Lost(LostReason::Overloaded { retry_after_s: 7.0 })));
     });
 }
--- a/src/discovery/relays/watch.rs
+++ b/src/discovery/relays/watch.rs
@@ -1,6 +1,6 @@
 //! One watch on one relay: its updates go to the directory, its events to the follower.
 
-use crate::discovery::client::{CallError, CountedTcp, Subscription, Update};
+use crate::discovery::client::{CallError, CountedTcp, WatchEvent, Watcher};
 use crate::discovery::directory::{EndpointDirectory, Progress};
 use crate::discovery::schedule::PollSchedule;
 use crate::metrics::counters::Counters;
@@ -12,7 +12,7 @@
 
 /// An event of a watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum WatchEvent {
+pub(super) enum RelayWatchEvent {
     /// Its first message has arrived.
     Opened,
     /// It has ended.
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WatchReport {
     pub(super) watch_id: WatchId,
-    pub(super) event: WatchEvent,
+    pub(super) event: RelayWatchEvent,
 }
 
 /// One watch on one relay. It does not reconnect by itself once it has ended.
@@ -39,62 +39,64 @@
     /// Applies the relay's updates until the watch is lost.
     pub(super) async fn run(self) {
         let mut progress = Progress::since(self.address, self.directory.version());
-        let mut subscription = self.subscribe();
+        let mut watcher = self.new_watcher();
         let mut is_open = false;
         loop {
-            let update = self.directory.next_update(&mut subscription, &mut progress).await;
-            if !is_open && is_message(&update) {
+            let event = self.directory.next_update(&mut watcher, &mut progress).await;
+            if !is_open && is_message(&event) {
                 is_open = true;
-                self.report(WatchEvent::Opened).await;
+                self.report(RelayWatchEvent::Opened).await;
             }
-            let lost_reason = lost_reason(&update);
-            match self.evaluate(&update, &mut progress) {
-                Verdict::Apply => self.directory.take_update(update, &mut progress, &mut subscription),
+            let lost_reason = lost_reason(&event);
+            match self.evaluate(&event, &mut progress) {
+                Verdict::Apply => self.directory.take_update(event, &mut progress, &mut watcher),
                 Verdict::Duplicate => {}
                 Verdict::Rewatch => {
                     progress.ask_again(self.directory.version());
-                    subscription = self.subscribe();
+                    watcher = self.new_watcher();
                 }
             }
             if let Some(reason) = lost_reason {
-                return self.report(WatchEvent::Lost(reason)).await;
+                return self.report(RelayWatchEvent::Lost(reason)).await;
             }
         }
     }
 
-    fn subscribe(&self) -> Subscription<'_, CountedTcp<Counters>> {
-        Subscription::without_retries(self.directory.dial(), self.address, &self.schedule)
+    fn new_watcher(&self) -> Watcher<'_, CountedTcp<Counters>> {
+        Watcher::without_retries(self.directory.connector(), self.address, &self.schedule)
     }
 
     /// Filters lists against those of the other watch; every other update is applied.
-    fn evaluate(&self, update: &Update, progress: &mut Progress) -> Verdict {
-        match update {
-            Update::List(list, _) => progress.intake().evaluate(list.rev, list.all, self.directory.version()),
+    fn evaluate(&self, event: &WatchEvent, progress: &mut Progress) -> Verdict {
+        match event {
+            WatchEvent::List { list, .. } => {
+                progress.intake().evaluate(list.version, list.is_snapshot, self.directory.version())
+            }
             _ => Verdict::Apply,
         }
     }
 
-    async fn report(&self, event: WatchEvent) {
+    async fn report(&self, event: RelayWatchEvent) {
         // A follower that has closed the channel has dropped this watch, too.
         _ = self.reports.send(WatchReport { watch_id: self.watch_id, event }).await;
     }
 }
 
 /// Whether an update shows that the watch is open.
-fn is_message(update: &Update) -> bool {
-    matches!(update, Update::List(..) | Update::Alive)
+fn is_message(event: &WatchEvent) -> bool {
+    matches!(event, WatchEvent::List { .. } | WatchEvent::Heartbeat)
 }
 
 /// Why an update ends the watch, if it does. The end of a call for the complete list that delivered it is no loss.
-fn lost_reason(update: &Update) -> Option<LostReason> {
-    match update {
-        Update::Silent(_) => Some(LostReason::IdleTimeout),
-        Update::Lost => Some(LostReason::ConnectionLost),
-        Update::Ended { opened, problem } => {
-            let error = problem.as_ref()?;
+fn lost_reason(event: &WatchEvent) -> Option<LostReason> {
+    match event {
+        WatchEvent::SourceSilent(_) => Some(LostReason::IdleTimeout),
+        WatchEvent::WatchLost => Some(LostReason::ConnectionLost),
+        WatchEvent::CallEnded { opened, error } => {
+            let error = error.as_ref()?;
             Some(if *opened { lost_after_opening(error) } else { lost_before_opening(error) })
         }
-        Update::List(..) | Update::Alive | Update::Unread(_) => None,
+        WatchEvent::List { .. } | WatchEvent::Heartbeat | WatchEvent::Unreadable(_) => None,
     }
 }
 
--- a/src/discovery/schedule.rs
+++ b/src/discovery/schedule.rs
@@ -48,6 +48,15 @@
 const GROWING_PART: f64 = 0.1;
 const LONGEST_PART: f64 = 0.85;
 
+/// What answers a head's calls for the list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SourceKind {
+    /// An agent of the head's own, to which changes are pushed. It bears every call of that head.
+    LocalAgent,
+    /// One server of fixed capacity that answers all heads of the fleet.
+    SharedServer,
+}
+
 /// One head's share of the polling that its fleet does.
 pub struct PollSchedule {
     /// Ratio of the fleet's size to a small fleet's, 1 at least.
@@ -65,7 +74,8 @@
     /// after the change was told. `shared` is set where one server of fixed capacity answers all heads; an agent of
     /// the head's own, to which changes are pushed, bears every call of that head, and what it holds counts as told:
     /// a delay before a call to it would mean to use a list that is known to be old.
-    pub fn new(hosts: u32, seed: u64, shared: bool, grace: Duration) -> PollSchedule {
+    pub fn new(hosts: u32, seed: u64, kind: SourceKind, grace: Duration) -> PollSchedule {
+        let shared = kind == SourceKind::SharedServer;
         let fleet = if shared { (f64::from(hosts) / f64::from(SMALL_FLEET_MAX_HEADS)).max(1.0) } else { 1.0 };
         let every = (grace / POLLS_IN_GRACE).clamp(LEAST_EVERY, MOST_EVERY);
         PollSchedule { fleet, shared, every, random: Cell::new(seed | 1) }
@@ -77,12 +87,12 @@
     }
 
     /// Timeout of a call for the list.
-    pub fn call(&self) -> Duration {
+    pub fn call_timeout(&self) -> Duration {
         CALL.mul_f64(self.fleet).min(MAX_CALL)
     }
 
     /// How long a start with a cached list waits for the current one.
-    pub fn start(&self) -> Duration {
+    pub fn start_timeout(&self) -> Duration {
         if self.shared { START_WAIT_SHARED } else { START_WAIT_AGENT }
     }
 
@@ -101,7 +111,7 @@
     }
 
     /// Delay before a first call that all heads may make together; none in a small fleet.
-    pub fn first(&self) -> Duration {
+    pub fn initial_delay(&self) -> Duration {
         if self.is_large() { self.spread().mul_f64(self.draw()) } else { Duration::ZERO }
     }
 
@@ -138,11 +148,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
     /// It brought the whole list.
-    Well,
+    Completed,
     /// It opened, and then timed out.
     Stalled,
     /// It opened, and broke.
-    Broke,
+    Broken,
     /// It never opened.
     NeverOpened,
 }
@@ -160,24 +170,24 @@
 
 impl Poller<'_> {
     /// Whether a watch is opened anew while one stands.
-    pub fn renews(&self) -> bool {
+    pub fn renews_watches(&self) -> bool {
         !self.schedule.shared
     }
 
     /// Timeouts of calls.
-    pub fn spans(&self) -> CallTimeouts {
+    pub fn timeouts(&self) -> CallTimeouts {
         let silence = if self.schedule.shared { SILENCE } else { MAX_AGENT_SILENCE };
-        CallTimeouts { call: self.schedule.call(), first: SILENCE, silence }
+        CallTimeouts { call: self.schedule.call_timeout(), first: SILENCE, silence }
     }
 
     /// After how long without a message the other side counts as silent.
-    pub fn quiet(&self) -> Duration {
+    pub fn silence_timeout(&self) -> Duration {
         if self.schedule.shared { SILENCE } else { AGENT_SILENCE }
     }
 
     /// A call has begun. Gives the time to the next one, if that does not depend on how this one ends.
-    pub fn began(&mut self) -> Option<Duration> {
-        if self.renews() {
+    pub fn on_call_started(&mut self) -> Option<Duration> {
+        if self.renews_watches() {
             return Some(self.schedule.every);
         }
         if !self.schedule.is_large() {
@@ -189,26 +199,26 @@
     }
 
     /// A call has ended. Gives the time to the next one, if that depends on it.
-    pub fn ended(&mut self, end: CallEnd) -> Option<Duration> {
-        if self.renews() {
+    pub fn on_call_ended(&mut self, end: CallEnd) -> Option<Duration> {
+        if self.renews_watches() {
             return None;
         }
         // A watch that ends before the next call would have been due has not stood.
         let left = self.next_by.map(|at| at.saturating_duration_since(Instant::now()));
         let left = left.filter(|left| !left.is_zero());
         match end {
-            CallEnd::Well => return Some(Duration::ZERO),
+            CallEnd::Completed => return Some(Duration::ZERO),
             CallEnd::Stalled => self.backoff.restart_late(),
-            CallEnd::Broke if left.is_none() => self.backoff.restart(),
-            CallEnd::Broke | CallEnd::NeverOpened => {}
+            CallEnd::Broken if left.is_none() => self.backoff.restart(),
+            CallEnd::Broken | CallEnd::NeverOpened => {}
         }
-        let delay = self.backoff.pause();
+        let delay = self.backoff.next_delay();
         Some(left.map_or(delay, |left| delay.min(left)))
     }
 
     /// Delay of a call that is wanted although a watch stands.
-    pub fn soon(&mut self) -> Duration {
-        if self.renews() { self.schedule.every } else { self.backoff.pause() }
+    pub fn early_call_delay(&mut self) -> Duration {
+        if self.renews_watches() { self.schedule.every } else { self.backoff.next_delay() }
     }
 }
 
@@ -237,7 +247,7 @@
     }
 
     /// The next delay.
-    pub fn pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let draw = self.schedule.draw();
         let longest = if self.schedule.is_large() { self.schedule.interval() } else { MAX_DELAY };
         let part = match self.schedule.is_large() {
--- a/src/discovery/schedule/tests.rs
+++ b/src/discovery/schedule/tests.rs
@@ -6,7 +6,7 @@
 
 fn heads(hosts: u32, seed: u64) -> Vec<PollSchedule> {
     let seeds = (1..=u64::from(hosts)).map(|head| head.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ seed);
-    seeds.map(|seed| PollSchedule::new(hosts, seed, true, GRACE)).collect()
+    seeds.map(|seed| PollSchedule::new(hosts, seed, SourceKind::SharedServer, GRACE)).collect()
 }
 
 /// Plays one service that takes calls in turn, `each` seconds of work apiece, and fails those that have waited
@@ -14,14 +14,16 @@
 fn told(schedule: &[PollSchedule], each: f64) -> Vec<(f64, u32)> {
     let mut backoffs: Vec<_> = schedule.iter().map(PollSchedule::backoff).collect();
     let mut calls: Vec<(f64, usize)> = Vec::new();
-    calls.extend(schedule.iter().enumerate().map(|(head, schedule)| (schedule.first().as_secs_f64(), head)));
+    calls.extend(
+        schedule.iter().enumerate().map(|(head, schedule)| (schedule.initial_delay().as_secs_f64(), head)),
+    );
     let (mut free, mut done) = (0.0f64, vec![(f64::INFINITY, 0); schedule.len()]);
     while !calls.is_empty() {
         let soonest = (0..calls.len()).min_by(|a, b| calls[*a].0.total_cmp(&calls[*b].0)).unwrap();
         let (at, head) = calls.swap_remove(soonest);
         done[head].1 += 1;
         if free - at > 1.9 {
-            calls.push((at + 1.9 + backoffs[head].pause().as_secs_f64(), head));
+            calls.push((at + 1.9 + backoffs[head].next_delay().as_secs_f64(), head));
         } else {
             free = free.max(at) + each;
             done[head].0 = free;
@@ -50,14 +52,18 @@
 /// holds a drain that counts as told, and the head sends to the node for up to 4 s more.
 #[test]
 fn an_agent_of_the_heads_own_is_asked_at_once_however_large_the_fleet() {
-    let schedule = PollSchedule::new(300, 5, false, GRACE);
-    assert_eq!((schedule.first(), schedule.call()), (Duration::ZERO, CALL));
+    let schedule = PollSchedule::new(300, 5, SourceKind::LocalAgent, GRACE);
+    assert_eq!((schedule.initial_delay(), schedule.call_timeout()), (Duration::ZERO, CALL));
     let mut poller = schedule.poller();
-    for end in [CallEnd::NeverOpened, CallEnd::Broke, CallEnd::Stalled] {
-        assert_eq!(poller.ended(end), None, "the pace does not change");
-        assert_eq!(poller.began(), Some(GRACE / 4));
+    for end in [CallEnd::NeverOpened, CallEnd::Broken, CallEnd::Stalled] {
+        assert_eq!(poller.on_call_ended(end), None, "the pace does not change");
+        assert_eq!(poller.on_call_started(), Some(GRACE / 4));
     }
-    let every = |millis| PollSchedule::new(300, 5, false, Duration::from_millis(millis)).poller().began();
+    let every = |millis| {
+        PollSchedule::new(300, 5, SourceKind::LocalAgent, Duration::from_millis(millis))
+            .poller()
+            .on_call_started()
+    };
     assert_eq!(every(0), Some(LEAST_EVERY), "no agent is hammered");
     assert_eq!(every(2000), Some(MOST_EVERY));
 }
@@ -69,10 +75,15 @@
 fn a_silent_watch_is_made_up_for_before_a_change_counts_as_told() {
     let told = Duration::from_millis(6250);
     for seed in 1..1000u64 {
-        let one = PollSchedule::new(1024, seed.wrapping_mul(0x9E37_79B9_7F4A_7C15), true, GRACE);
+        let one = PollSchedule::new(
+            1024,
+            seed.wrapping_mul(0x9E37_79B9_7F4A_7C15),
+            SourceKind::SharedServer,
+            GRACE,
+        );
         let mut poller = one.poller();
-        let pause = poller.ended(CallEnd::Stalled).expect("a pause");
-        assert!(poller.spans().silence + pause + Duration::from_secs(1) <= told, "{seed}");
+        let pause = poller.on_call_ended(CallEnd::Stalled).expect("a pause");
+        assert!(poller.timeouts().silence + pause + Duration::from_secs(1) <= told, "{seed}");
     }
 }
 
@@ -81,7 +92,7 @@
 fn the_pauses_of_a_fleet_differ_and_grow_until_its_calls_are_few() {
     let pauses = |schedule: &PollSchedule| {
         let mut backoff = schedule.backoff();
-        (0..8).map(|_| backoff.pause().as_secs_f64()).collect::<Vec<_>>()
+        (0..8).map(|_| backoff.next_delay().as_secs_f64()).collect::<Vec<_>>()
     };
     let heads: Vec<_> = heads(48, 0).iter().map(pauses).collect();
     assert!(heads.iter().all(|p| p[0] >= 0.4 && p[0] <= 4.0 && p.iter().all(|pause| *pause <= 12.0)));
@@ -89,9 +100,9 @@
     assert!((4.0..10.0).contains(&calls), "{calls} a second");
     let early = heads.iter().filter(|p| p[0] < 2.2).count();
     assert!((10..38).contains(&early), "{early} of 48 in the first half");
-    let few = pauses(&PollSchedule::new(8, 5, true, GRACE));
+    let few = pauses(&PollSchedule::new(8, 5, SourceKind::SharedServer, GRACE));
     assert!(few.iter().all(|pause| (0.02..1.5).contains(pause)), "a few heads need not wait");
-    assert_eq!(PollSchedule::new(8, 5, true, GRACE).first(), Duration::ZERO);
+    assert_eq!(PollSchedule::new(8, 5, SourceKind::SharedServer, GRACE).initial_delay(), Duration::ZERO);
 }
 
 /// Guards against failed calls to a shared server that push the next one past the 6 s after which a change counts as
@@ -99,19 +110,19 @@
 #[tokio::test(start_paused = true)]
 async fn calls_to_a_shared_server_begin_at_most_one_interval_apart_however_they_end() {
     for hosts in [9, 20, 300, 1024, 4200] {
-        let schedule = PollSchedule::new(hosts, u64::from(hosts), true, GRACE);
+        let schedule = PollSchedule::new(hosts, u64::from(hosts), SourceKind::SharedServer, GRACE);
         let mut poller = schedule.poller();
         for round in 0..400u64 {
             let began = Instant::now();
-            let due = began + poller.began().expect("an interval");
+            let due = began + poller.on_call_started().expect("an interval");
             assert!(
-                due - began <= MAX_INTERVAL && due - began > schedule.call(),
+                due - began <= MAX_INTERVAL && due - began > schedule.call_timeout(),
                 "{hosts} heads: {:?}",
                 due - began
             );
-            let end = [CallEnd::NeverOpened, CallEnd::Stalled, CallEnd::Broke][(round % 3) as usize];
+            let end = [CallEnd::NeverOpened, CallEnd::Stalled, CallEnd::Broken][(round % 3) as usize];
             tokio::time::advance((due - began).mul_f64(schedule.draw())).await;
-            let next = Instant::now() + poller.ended(end).expect("a delay");
+            let next = Instant::now() + poller.on_call_ended(end).expect("a delay");
             assert!(next <= due, "{hosts} heads, {end:?}: {:?} after its beginning", next - began);
             tokio::time::sleep_until(next).await;
         }
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -178,7 +178,7 @@
             Ok(name) => name,
             Err(error) => return bad_request(&error),
         };
-        match self.directory.ban(&node_name, action == NodeAction::Exclude) {
+        match self.directory.set_excluded(&node_name, action == NodeAction::Exclude) {
             Ok(true) => {
                 self.handover.notify_exclusions_changed();
                 text(StatusCode::OK, format!("{node_name} {}\n", action.outcome()))
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -239,7 +239,7 @@
             Message::Ready => self.update(OtherProcesses::peer_is_ready),
             Message::ExclusionsChanged => {
                 self.shared.exclusions.reload();
-                self.shared.directory.bans_changed();
+                self.shared.directory.on_exclusions_changed();
             }
             Message::OverridesChanged => self.shared.shedding.reload_overrides(),
         }
--- a/tests/directory_memory.rs
+++ b/tests/directory_memory.rs
@@ -3,7 +3,7 @@
 
 use flaxgap::core::{Clock, Dispatcher};
 use flaxgap::discovery::EndpointDirectory;
-use flaxgap::discovery::schedule::PollSchedule;
+use flaxgap::discovery::schedule::{PollSchedule, SourceKind};
 use flaxgap::exclusions::Exclusions;
 use flaxgap::metrics::counters::Counters;
 use flaxgap::node::{NodeAddress, NodeTransport, NodeTransportSettings};
@@ -11,8 +11,8 @@
 use flaxgap::resources::memory::BodyMemory;
 use flaxgap::scheduler::{NodeId, NodeState, UpdateKind};
 use flaxgap_membership::compact::CompactList;
-use flaxgap_membership::wire::{Entry, List, State};
-use flaxgap_membership::{Membership, NodeChange, Source};
+use flaxgap_membership::list::{EndpointList, Entry, NodeState as ListedState};
+use flaxgap_membership::{Membership, NodeChange, SourceCursor};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -23,13 +23,18 @@
 /// At most so many bytes for each node in a view, the decision module's part apart.
 const MOST: f64 = 200.0;
 
-fn whole() -> List {
+fn whole() -> EndpointList {
     let entry = |n: usize| {
         let address = Some(([127, (n >> 16) as u8, (n >> 8) as u8, n as u8], 80).into());
         let (name, zone) = (format!("s-{n:08x}"), "a".into());
-        Entry { name, address, zone, shard: Some(n as u32), state: State::Ready, boot: 0.0 }
+        Entry { name, address, zone, shard: Some(n as u32), state: ListedState::Ready, started_at: 0.0 }
     };
-    List { rev: 1, all: true, entries: (0..NODES).map(entry).collect(), unread: vec![] }
+    EndpointList {
+        version: 1,
+        is_snapshot: true,
+        entries: (0..NODES).map(entry).collect(),
+        unreadable: vec![],
+    }
 }
 
 fn resident() -> f64 {
@@ -61,7 +66,7 @@
 fn membership_and_places(list: &CompactList) -> (Membership, Rc<NodeTransport>) {
     let counters = Counters::new(&[]);
     let (nodes, mut membership) = (nodes(&counters), Membership::default());
-    for change in membership.apply(list, &mut Source::default(), 1.0) {
+    for change in membership.apply(list, &mut SourceCursor::default(), 1.0) {
         let NodeChange::Updated { node, .. } = change else { panic!("{change:?}") };
         let address = node.address.expect("an address");
         nodes.set_address(
@@ -77,10 +82,10 @@
     let (settings, notes) = flaxgap::config::read(peers::SETTINGS.as_bytes()).expect("settings");
     let counters = Counters::new(&notes.class_names);
     let dispatcher = Dispatcher::new(settings, 1, Clock::start(), counters.clone()).expect("served");
-    let schedule = PollSchedule::new(4200, 1, false, Duration::from_millis(250));
+    let schedule = PollSchedule::new(4200, 1, SourceKind::LocalAgent, Duration::from_millis(250));
     let (nodes, bans) = (nodes(&counters), Rc::new(Exclusions::load(None, "n0")));
     let directory = EndpointDirectory::new(dispatcher, nodes, counters, bans, vec!["a".into()], schedule);
-    directory.apply(list.clone(), &mut Source::default(), UpdateKind::Changes);
+    directory.apply(list.clone(), &mut SourceCursor::default(), UpdateKind::Changes);
     assert_eq!(directory.gauges()[0], ("bricks_known", NODES));
     directory
 }
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -7,14 +7,14 @@
 use flaxgap::core::content::Payload;
 use flaxgap::core::{Clock, Dispatcher, NodeRequest, Operation, SendPermit, Transport};
 use flaxgap::discovery::EndpointDirectory;
-use flaxgap::discovery::schedule::PollSchedule;
+use flaxgap::discovery::schedule::{PollSchedule, SourceKind};
 use flaxgap::exclusions::Exclusions;
 use flaxgap::metrics::counters::Counters;
 use flaxgap::node::{NodeTransport, NodeTransportSettings};
 use flaxgap::resources::descriptors::DescriptorBudget;
 use flaxgap::resources::memory::BodyMemory;
 use flaxgap::scheduler::{AttemptOutcome, NodeId, UpdateKind};
-use flaxgap_membership::Source;
+use flaxgap_membership::SourceCursor;
 use flaxgap_membership::compact::CompactList;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     directory: Rc<EndpointDirectory>,
     nodes: Rc<NodeTransport>,
     counters: Rc<Counters>,
-    source: Source,
+    source: SourceCursor,
 }
 
 impl View {
@@ -60,12 +60,12 @@
             NodeTransportSettings { connect_timeout_s: 0.5, node_idle_timeout_s: 15.0, heads: 1 },
         );
         let dispatcher = Dispatcher::new(settings, 1, Clock::start(), counters.clone()).expect("served");
-        let schedule = PollSchedule::new(4200, 1, false, Duration::from_millis(250));
+        let schedule = PollSchedule::new(4200, 1, SourceKind::LocalAgent, Duration::from_millis(250));
         let bans = Rc::new(Exclusions::load(None, "n0"));
         let zones = vec!["a".into()];
         let directory =
             EndpointDirectory::new(dispatcher, nodes.clone(), counters.clone(), bans, zones, schedule);
-        let mut view = View { directory, nodes, counters, source: Source::default() };
+        let mut view = View { directory, nodes, counters, source: SourceCursor::default() };
         view.apply(parsed(1, true, &entries(|_| "ready")));
         assert_eq!(view.known_and_excluded(), (NODES, 0));
         view
--- a/tests/standing_terms_polling.rs
+++ b/tests/standing_terms_polling.rs
@@ -1,8 +1,8 @@
 //! Standing term: a change of the node list is heard within 6 s after discovery has it and can be reached, whatever
 //! failed before. Many heads poll one shared server of fixed capacity, in virtual time, with the program's own calls.
 
-use flaxgap::discovery::client::{Dial, Query, Subscription, Update};
-use flaxgap::discovery::schedule::PollSchedule;
+use flaxgap::discovery::client::{Connect, SourceRequest, WatchEvent, Watcher};
+use flaxgap::discovery::schedule::{PollSchedule, SourceKind};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -139,10 +139,10 @@
 #[derive(Clone)]
 struct Dialer(Rc<Server>);
 
-impl Dial for Dialer {
+impl Connect for Dialer {
     type Stream = DuplexStream;
 
-    async fn dial(&self, _: SocketAddr) -> io::Result<DuplexStream> {
+    async fn connect(&self, _: SocketAddr) -> io::Result<DuplexStream> {
         let server = self.0.clone();
         server.calls.borrow_mut().push(Instant::now());
         match server.outage {
@@ -195,12 +195,12 @@
         let tasks: Vec<_> = (1..=u64::from(heads)).map(|head| {
             let (server, seed) = (server.clone(), (head ^ seed << 32).wrapping_mul(0x9E37_79B9_7F4A_7C15));
             spawn_local(async move {
-                let schedule = PollSchedule::new(heads, seed, true, GRACE);
-                sleep(schedule.first()).await;
+                let schedule = PollSchedule::new(heads, seed, SourceKind::SharedServer, GRACE);
+                sleep(schedule.initial_delay()).await;
                 let address = ([127, 0, 0, 1], 1).into();
-                let mut subscription = Subscription::new(Dialer(server.clone()), address, &schedule);
+                let mut watcher = Watcher::new(Dialer(server.clone()), address, &schedule);
                 loop {
-                    if matches!(subscription.next(|| Query::Since(1)).await, Update::List(list, _) if list.rev == 2) {
+                    if matches!(watcher.next_event(|| SourceRequest::WatchSince(1)).await, WatchEvent::List { list, .. } if list.version == 2) {
                         // Its watch stands from here on, and its calls are over.
                         return Instant::now() - server.up;
                     }
