--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -127,7 +127,7 @@
 
     /// What it has received and sent for control, if this revision counts it.
     pub fn traffic(&self) -> Option<Traffic> {
-        traffic(self.counters.pairs().into_iter())
+        traffic(self.counters.figures().into_iter())
     }
 
     /// Whether a relay speaks to it.
--- a/src/core/dispatcher.rs
+++ b/src/core/dispatcher.rs
@@ -206,7 +206,7 @@
         upload: Option<&Rc<UploadStream>>,
     ) {
         let Some(attempt) = self.requests.borrow_mut().take_unreported(id, number) else { return };
-        self.counters.outcome(result.outcome);
+        self.counters.count_attempt(result.outcome);
         let node_time_from = self.node_time_from(attempt, upload);
         self.notify(&[Event::AttemptEnded {
             request: id,
--- a/src/core/serve.rs
+++ b/src/core/serve.rs
@@ -103,7 +103,7 @@
         call: Call,
         in_flight: InFlightRequest,
     ) -> Answer {
-        in_flight.take();
+        in_flight.accept();
         let mut request = ActiveRequest::new(self, &call);
         let accepted_at = Instant::now();
         let observer = self.observer.borrow().clone();
@@ -307,11 +307,11 @@
 }
 
 fn failed(in_flight: &InFlightRequest) -> Answer {
-    in_flight.settle(FinalOutcome::Failed);
+    in_flight.finish(FinalOutcome::Failed);
     Answer::Failed
 }
 
 fn rejected(retry_after_s: f64, in_flight: &InFlightRequest) -> Answer {
-    in_flight.settle(FinalOutcome::Rejected);
+    in_flight.finish(FinalOutcome::Rejected);
     Answer::Rejected { retry_after_s: retry_after_s.clamp(0.0, MAX_RETRY_AFTER_S) }
 }
--- a/src/core/shedding.rs
+++ b/src/core/shedding.rs
@@ -41,7 +41,7 @@
     /// load shedding off.
     pub fn set_load_monitor(&self, monitor: Option<LoadMonitor>) {
         self.shedding.set_monitor(monitor);
-        self.counters.set_levels(SheddingGauges::default());
+        self.counters.set_shedding(SheddingGauges::default());
         self.notify(&[Event::SheddingLevelChanged(SheddingLevel::default())]);
     }
 
@@ -67,7 +67,7 @@
         let gauges = ResourceGauges { memory, descriptors, scheduler_cpu_s };
         let evaluation = self.with_load_monitor(|monitor, now| {
             let queue = self.queue.borrow();
-            self.counters.withheld.follow(queue.scheduler.shed_requests());
+            self.counters.withheld.raise_to(queue.scheduler.shed_requests());
             let evaluation = monitor.evaluate(now, queue.scheduler.reserved_work_stats(), gauges);
             self.update_shedding_counters(monitor);
             evaluation
@@ -81,11 +81,11 @@
 
     fn update_shedding_counters(&self, monitor: &LoadMonitor) {
         let counts = monitor.levels().level_counts();
-        self.counters.set_levels(SheddingGauges {
-            level: counts.head_level as u64,
-            halls: counts.reduced_zones as u64,
-            pinned: counts.overrides as u64,
+        self.counters.set_shedding(SheddingGauges {
+            head_level: counts.head_level as u64,
+            reduced_zones: counts.reduced_zones as u64,
+            overrides: counts.overrides as u64,
         });
-        self.counters.level_changes.follow(monitor.levels().total_transitions());
+        self.counters.level_changes.raise_to(monitor.levels().total_transitions());
     }
 }
--- a/src/daemon/build.rs
+++ b/src/daemon/build.rs
@@ -230,10 +230,10 @@
     /// [`DaemonError::Plugin`] if the plug-in can't be used.
     pub(super) fn start_observers(&self, operators_file: &OperatorsFile) -> Result<(), DaemonError> {
         if let Some(graphite) = operators_file.graphite.clone() {
-            spawn_local(export::to_graphite(graphite, self.counters.clone()));
+            spawn_local(export::run_graphite(graphite, self.counters.clone()));
         }
         if let Some(collectd) = operators_file.collectd.clone() {
-            spawn_local(export::to_collectd(collectd, self.counters.clone()));
+            spawn_local(export::run_collectd(collectd, self.counters.clone()));
         }
         if let Some(plugin) = &operators_file.plugin {
             self.dispatcher.set_observer(Rc::new(Plugin::load(plugin, self.counters.clone())?));
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -52,11 +52,11 @@
     let schedule = DrainSchedule::starting_now(longest_deadline_s);
     parts.dispatcher.set_shutdown_deadline(schedule.last_answer_by);
     serve_until_connections_close(parts, &server, &schedule).await;
-    parts.lifecycle.close_idle();
+    parts.lifecycle.close_idle_connections();
     accept_what_is_queued(parts, &server, schedule.end).await;
     drop(server);
     parts.handover.close_sockets();
-    if timeout_at(schedule.end, parts.lifecycle.all_closed()).await.is_err() {
+    if timeout_at(schedule.end, parts.lifecycle.connections_closed()).await.is_err() {
         log::warn!("daemon: connections still open at the end");
     }
     parts.lifecycle.enter(Phase::Stopped);
@@ -66,7 +66,7 @@
 async fn serve_until_connections_close(parts: &Parts, server: &Server, schedule: &DrainSchedule) {
     let all_closed = async {
         sleep_until(schedule.accepting_until).await;
-        parts.lifecycle.all_closed().await;
+        parts.lifecycle.connections_closed().await;
     };
     tokio::select! {
         () = server.listen() => {}
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -90,7 +90,7 @@
 
         let received_sockets = parts.handover.take_over().await;
         // Until this process is ready, an older one accepts.
-        parts.lifecycle.accept(received_sockets.is_empty());
+        parts.lifecycle.set_accepting(received_sockets.is_empty());
         parts.shedding.configure(shedding);
         let address_use = AddressUse::of_head(parts.handover.is_possible());
         let listeners = Listeners::open(&addresses, received_sockets, address_use)?;
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -166,7 +166,7 @@
     }
 
     fn readiness(&self) -> Response<Full<Bytes>> {
-        let phase = self.lifecycle.now();
+        let phase = self.lifecycle.phase();
         let is_ready = phase == Phase::Ready;
         let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         text(status, format!("{phase:?}\n"))
--- a/src/frontend/block/listener.rs
+++ b/src/frontend/block/listener.rs
@@ -16,7 +16,7 @@
     pub async fn listen(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             let slot = self.budget.client_slot().await;
-            let stream = match self.phases.next(&listener).await {
+            let stream = match self.phases.accept(&listener).await {
                 Ok(stream) => stream,
                 Err(problem) => {
                     log::warn!("block: accept: {problem}");
@@ -25,7 +25,7 @@
                     continue;
                 }
             };
-            let (front, guard) = (self.clone(), self.phases.connection());
+            let (front, guard) = (self.clone(), self.phases.track_connection());
             tokio::task::spawn_local(async move {
                 let _held = (slot, guard);
                 let (stream, counters) = (Rc::new(stream), front.counters.clone());
--- a/src/frontend/block/session/command.rs
+++ b/src/frontend/block/session/command.rs
@@ -156,21 +156,21 @@
     command: &BlockCommand,
 ) -> CommandResult {
     let length = command.place.length;
-    let flight = front.counters.flight(call.class);
+    let flight = front.counters.track_request(call.class);
     match front.dispatcher.serve(&*front.transport, call, flight).await {
         Answer::Served(_, flight) if command.verb == Operation::Write => {
-            flight.settle(FinalOutcome::Served);
+            flight.finish(FinalOutcome::Served);
             CommandResult::Good { data: Bytes::new(), moved: length }
         }
         Answer::Served(content, flight) => {
             let whole = timeout_at(command.deadline, content.collect(length)).await.ok().flatten();
             match whole.filter(|data| data.len() == length) {
                 Some(data) => {
-                    flight.settle(FinalOutcome::Served);
+                    flight.finish(FinalOutcome::Served);
                     CommandResult::Good { data, moved: length }
                 }
                 None => {
-                    flight.settle(FinalOutcome::Failed);
+                    flight.finish(FinalOutcome::Failed);
                     log::warn!("block: not the {length} bytes that were to be read");
                     CommandResult::Check(scsi::READ_ERROR)
                 }
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -83,7 +83,7 @@
     fn announces_close(&self) -> bool {
         let context = &self.frontend.context;
         let close_wanted =
-            self.state.is_close_requested() || context.phases.leaving() || context.budget.crowded();
+            self.state.is_close_requested() || context.phases.should_reconnect() || context.budget.crowded();
         close_wanted && self.state.may_announce_close()
     }
 }
@@ -131,7 +131,7 @@
     pub async fn listen(self: Rc<Self>, listener: &TcpListener) {
         loop {
             let slot = self.context.budget.client_slot().await;
-            match self.context.phases.next(listener).await {
+            match self.context.phases.accept(listener).await {
                 Ok(stream) => self.admit(stream, slot),
                 Err(error) => {
                     // Never the end of the program: a descriptor is freed, or the client has disconnected.
@@ -155,7 +155,7 @@
         let notify = descriptors_short.clone();
         slot.silent(move || notify.notify_one());
         let state = ConnectionState::new(stream.clone(), self.context.counters.clone());
-        let connection_guard = self.context.phases.connection();
+        let connection_guard = self.context.phases.track_connection();
         let service = ConnectionService { frontend: self.clone(), slot, descriptors_short, state };
         tokio::task::spawn_local(async move {
             let _connection_guard = connection_guard;
--- a/src/frontend/http2.rs
+++ b/src/frontend/http2.rs
@@ -46,10 +46,10 @@
         loop {
             let Ok(permit) = self.connection_permits.clone().acquire_owned().await else { return };
             let slot = self.context.budget.client_slot().await;
-            match self.context.phases.next(&listener).await {
+            match self.context.phases.accept(&listener).await {
                 Ok(stream) => {
                     let frontend = self.clone();
-                    let connection_guard = self.context.phases.connection();
+                    let connection_guard = self.context.phases.track_connection();
                     tokio::task::spawn_local(async move {
                         let _held = (permit, connection_guard);
                         frontend.run_connection(stream, slot).await;
--- a/src/frontend/http2/connection.rs
+++ b/src/frontend/http2/connection.rs
@@ -275,7 +275,7 @@
             self.mark_idle();
         }
         let context = &self.frontend.context;
-        if context.phases.leaving() || is_idle && context.budget.crowded() {
+        if context.phases.should_reconnect() || is_idle && context.budget.crowded() {
             self.goodbye.leave(self.now(), Cause::Drain)
         } else {
             Act::Wait
--- a/src/frontend/request.rs
+++ b/src/frontend/request.rs
@@ -74,13 +74,13 @@
             Ok(fields) => fields,
             Err(error) => return self.reject(&error),
         };
-        let in_flight = self.counters.flight(fields.class);
+        let in_flight = self.counters.track_request(fields.class);
         // Boxed, so that its memory is free again once the body has come.
         let call = Box::pin(self.read_call(request, fields, body_grace, client)).await;
         match call.and_then(|call| self.claim_id(call)) {
             Ok(call) => self.serve(call, in_flight).await,
             Err(error) => {
-                in_flight.settle(FinalOutcome::Failed);
+                in_flight.finish(FinalOutcome::Failed);
                 self.reject(&error)
             }
         }
@@ -90,7 +90,7 @@
     fn answer_status_path(&self, path: &str) -> Option<Response<ResponseBody>> {
         match path {
             "/-/ready" => {
-                let phase = self.phases.now();
+                let phase = self.phases.phase();
                 let is_ready = phase == Phase::Ready;
                 let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
                 Some(plain(status, format!("{phase:?}\n")))
--- a/src/frontend/request/response.rs
+++ b/src/frontend/request/response.rs
@@ -39,7 +39,7 @@
 
     fn settle(&self, outcome: FinalOutcome) {
         if let Some(request) = &self.request {
-            request.settle(outcome);
+            request.finish(outcome);
         }
     }
 
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -123,7 +123,7 @@
     /// over from it and its `sockets`.
     pub fn serve(self: &Rc<Self>, sockets: Vec<Rc<TcpListener>>) {
         self.sockets.replace(sockets);
-        self.shared.lifecycle.accept(true);
+        self.shared.lifecycle.set_accepting(true);
         self.send_to_peers(Message::Ready);
         let Some(path) = &self.socket_path else { return };
         match socket_path::listen(path) {
@@ -184,7 +184,7 @@
         } else {
             log::info!("handover: the newer process is in service, this one accepts no more");
         }
-        self.shared.lifecycle.accept(accepting);
+        self.shared.lifecycle.set_accepting(accepting);
     }
 
     fn send_to_peers(&self, message: Message) {
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,37 +1,48 @@
-//! Where the program stands, and what follows from it for connections. Everything that has to know, from the
-//! fronts to the link between two processes, reads it here; nothing here knows who asks.
+//! The phases of the process, and what follows from them for client connections.
+//!
+//! A process starts, serves, drains after SIGTERM or SIGINT (a graceful shutdown) and stops. While a newer process
+//! of the same head takes over, one of the two accepts connections.
 
 use std::io;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Where the program stands.
+/// A phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Reading its configuration, listening, waiting for the node list.
+    /// Reads its configuration, opens its listeners and waits for the endpoint list.
     Starting,
     /// In service.
     Ready,
-    /// Told to stop: answers what it took and takes what still comes.
+    /// Graceful shutdown: it answers the requests that it accepted and those that still come.
     Draining,
-    /// All is answered.
+    /// Everything is answered.
     Stopped,
 }
 
-/// The phase, the signal that idle connections shall close, and the connections still open.
+/// The state of the process as frontends, the handover and the graceful shutdown share it.
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
-    closing: watch::Sender<bool>,
-    accepting: watch::Sender<bool>,
-    connections: watch::Sender<usize>,
+    is_accepting: watch::Sender<bool>,
+    is_closing: watch::Sender<bool>,
+    open_connections: watch::Sender<usize>,
 }
 
-/// One connection that the program waits for before it ends.
-pub struct ConnectionGuard(watch::Sender<usize>);
+/// A client connection that the shutdown waits for; dropped when the connection has closed.
+pub struct ConnectionGuard {
+    open_connections: watch::Sender<usize>,
+}
+
+impl ConnectionGuard {
+    fn new(open_connections: &watch::Sender<usize>) -> ConnectionGuard {
+        open_connections.send_modify(|count| *count += 1);
+        ConnectionGuard { open_connections: open_connections.clone() }
+    }
+}
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.send_modify(|open| *open -= 1);
+        self.open_connections.send_modify(|count| *count -= 1);
     }
 }
 
@@ -39,47 +50,48 @@
     fn default() -> Self {
         Lifecycle {
             phase: watch::Sender::new(Phase::Starting),
-            closing: watch::Sender::new(false),
-            accepting: watch::Sender::new(true),
-            connections: watch::Sender::new(0),
+            is_accepting: watch::Sender::new(true),
+            is_closing: watch::Sender::new(false),
+            open_connections: watch::Sender::new(0),
         }
     }
 }
 
 impl Lifecycle {
-    /// The phase now.
-    pub fn now(&self) -> Phase {
+    /// The present phase.
+    pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Goes on to a later phase; there is no way back.
+    /// Enters a later phase; an earlier one is ignored.
     pub fn enter(&self, phase: Phase) {
-        let entered = self.phase.send_if_modified(|now| {
-            let later = *now < phase;
-            *now = phase.max(*now);
-            later
+        let has_entered = self.phase.send_if_modified(|current| {
+            if phase <= *current {
+                return false;
+            }
+            *current = phase;
+            true
         });
-        if entered {
+        if has_entered {
             log::info!("daemon: {phase:?}");
         }
     }
 
-    /// Whether this process accepts connections: while two processes of a head live, one of them does.
-    pub fn accept(&self, accepting: bool) {
-        self.accepting.send_replace(accepting);
+    /// Sets whether this process accepts connections: of two processes of a head, one does.
+    pub fn set_accepting(&self, is_accepting: bool) {
+        self.is_accepting.send_replace(is_accepting);
     }
 
-    /// Whether connections are better opened anew, to the process that accepts now.
-    pub fn leaving(&self) -> bool {
-        self.closing() || !*self.accepting.borrow()
-    }
-
-    /// The next connection, while this process accepts them.
-    pub async fn next(&self, listener: &TcpListener) -> io::Result<TcpStream> {
-        let mut accepting = self.accepting.subscribe();
+    /// Accepts the next connection, once this process accepts connections.
+    ///
+    /// # Errors
+    ///
+    /// Those of the listener.
+    pub async fn accept(&self, listener: &TcpListener) -> io::Result<TcpStream> {
+        let mut accepting = self.is_accepting.subscribe();
         loop {
             // The sender lives in `self`, so the wait can't fail.
-            let _ = accepting.wait_for(|accepting| *accepting).await;
+            let _ = accepting.wait_for(|is_accepting| *is_accepting).await;
             tokio::select! {
                 biased;
                 _ = accepting.changed() => {}
@@ -88,30 +100,30 @@
         }
     }
 
-    /// Counts a connection for as long as the guard lives.
-    pub fn connection(&self) -> ConnectionGuard {
-        self.connections.send_modify(|open| *open += 1);
-        ConnectionGuard(self.connections.clone())
+    /// Counts a connection as open for as long as the guard lives.
+    pub fn track_connection(&self) -> ConnectionGuard {
+        ConnectionGuard::new(&self.open_connections)
     }
 
-    /// Whether connections shall close after the answer they are at.
-    pub fn closing(&self) -> bool {
-        *self.closing.borrow()
+    /// Whether clients should reconnect, to reach the process that accepts connections: this one closes its
+    /// connections, or a newer one accepts in its place.
+    pub fn should_reconnect(&self) -> bool {
+        *self.is_closing.borrow() || !*self.is_accepting.borrow()
     }
 
-    /// Turns true when idle connections shall close.
-    pub fn subscribe_closing(&self) -> watch::Receiver<bool> {
-        self.closing.subscribe()
+    /// Signals that idle connections close, and others after their present response.
+    pub fn close_idle_connections(&self) {
+        self.is_closing.send_replace(true);
     }
 
-    /// Tells idle connections to close.
-    pub fn close_idle(&self) {
-        self.closing.send_replace(true);
+    /// A receiver that turns true at [`Lifecycle::close_idle_connections`].
+    pub fn subscribe_closing(&self) -> watch::Receiver<bool> {
+        self.is_closing.subscribe()
     }
 
     /// Waits until no connection is open.
-    pub async fn all_closed(&self) {
+    pub async fn connections_closed(&self) {
         // The sender lives in `self`, so the wait can't fail.
-        let _ = self.connections.subscribe().wait_for(|open| *open == 0).await;
+        let _ = self.open_connections.subscribe().wait_for(|count| *count == 0).await;
     }
 }
--- a/src/metrics/counters.rs
+++ b/src/metrics/counters.rs
@@ -1,115 +1,135 @@
-//! Figures of what the head takes in, sends and answers: one source for the operators' door, the exporters,
-//! the log and the exit.
+//! Counters of the requests, attempts, answers and connections of one head.
+//!
+//! They are the one source for the admin server, the exporters, the log and the exit. The fields of [`Counters`] have
+//! the names under which operators see the counters, which stay the same for as long as there are dashboards of them.
 
 use crate::scheduler::{AttemptOutcome, ClassId};
 use std::cell::Cell;
 use std::fmt;
 use std::rc::Rc;
 
-/// One count.
+/// Exported names of the gauges; all others are counters.
+const GAUGES: [&str; 4] = ["in_flight", "level", "halls_reduced", "levels_pinned"];
+/// Counters that the exposition shows by class, and not in all.
+const OUTCOME_COUNTERS: [&str; 3] = ["served", "refused", "failed"];
+
+/// A counter.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// One more.
+    /// Adds one.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// So many more.
+    /// Adds a number.
     pub fn add_many(&self, count: u64) {
         self.0.set(self.0.get() + count);
     }
 
-    /// Follows a count that is kept elsewhere and never falls.
-    pub fn follow(&self, count: u64) {
+    /// Raises the counter to one that is counted elsewhere; it never falls.
+    pub fn raise_to(&self, count: u64) {
         self.0.set(self.0.get().max(count));
     }
 
-    /// The count.
+    /// The present count.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// A request's one final answer, as its client sees it.
+/// The outcome of a request, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// With a node's body, to its end.
+    /// Answered with a node's body, to its end.
     Served,
     /// Rejected without effect; the client may safely send it again.
     Rejected,
-    /// Anything else.
+    /// Answered in any other way.
     Failed,
 }
 
-/// The final answers of one class.
-#[derive(Debug)]
-struct OfClass {
+/// The outcomes of the requests of one class.
+#[derive(Debug, Default)]
+struct ClassCounters {
     name: String,
     served: Counter,
     refused: Counter,
     failed: Counter,
 }
 
-impl OfClass {
-    fn pairs(&self) -> [(&'static str, &Counter); 3] {
-        [("served", &self.served), ("refused", &self.refused), ("failed", &self.failed)]
+impl ClassCounters {
+    fn new(name: &str) -> ClassCounters {
+        ClassCounters { name: name.to_owned(), ..ClassCounters::default() }
+    }
+
+    fn counter(&self, outcome: FinalOutcome) -> &Counter {
+        match outcome {
+            FinalOutcome::Served => &self.served,
+            FinalOutcome::Rejected => &self.refused,
+            FinalOutcome::Failed => &self.failed,
+        }
+    }
+
+    /// The outcomes' exported names and counts.
+    fn figures(&self) -> [(&'static str, u64); 3] {
+        [("served", self.served.get()), ("refused", self.refused.get()), ("failed", self.failed.get())]
     }
 }
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// All counts of one head.
+        /// All counters and gauges of one head.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
             in_flight: Cell<u64>,
-            levels: Cell<SheddingGauges>,
-            classes: Vec<OfClass>,
+            shedding: Cell<SheddingGauges>,
+            classes: Vec<ClassCounters>,
         }
 
         impl Counters {
-            /// Names and figures, in a fixed order.
-            pub fn pairs(&self) -> Vec<(&'static str, u64)> {
-                let levels = self.levels.get();
+            /// The exported names and values, in a fixed order.
+            pub fn figures(&self) -> Vec<(&'static str, u64)> {
+                let shedding = self.shedding.get();
                 vec![
                     $((stringify!($name), self.$name.get()),)*
                     ("in_flight", self.in_flight.get()),
-                    ("level", levels.level),
-                    ("halls_reduced", levels.halls),
-                    ("levels_pinned", levels.pinned),
+                    ("level", shedding.head_level),
+                    ("halls_reduced", shedding.reduced_zones),
+                    ("levels_pinned", shedding.overrides),
                 ]
             }
         }
     };
 }
 
-/// Where the levels of reduced service stand.
+/// The load-shedding levels in force.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SheddingGauges {
-    /// The head's place on its ladder, 0 for `normal`.
-    pub level: u64,
-    /// Halls at a level of their own.
-    pub halls: u64,
-    /// Levels that operators hold.
-    pub pinned: u64,
+    /// The head's level in its escalation policy, 0 for `normal`.
+    pub head_level: u64,
+    /// Zones at a level of their own.
+    pub reduced_zones: u64,
+    /// Levels that operators override.
+    pub overrides: u64,
 }
 
 counters! {
-    /// Requests taken.
+    /// Requests accepted.
     taken,
     /// Requests answered with a node's body.
     served,
-    /// Requests turned away.
+    /// Requests rejected without effect.
     refused,
     /// Requests answered as failed.
     failed,
-    /// Requests whose client left before the answer.
+    /// Requests whose client disconnected before the answer.
     gone,
-    /// Requests that the module let pass their deadline.
+    /// Requests that the scheduler owed a decision past their deadline.
     overdue,
-    /// Requests that could not be understood.
+    /// Requests that could not be parsed.
     bad_input,
     /// Attempts whose last byte was written.
     attempts,
@@ -117,170 +137,177 @@
     ok,
     /// Attempts that a node answered with an error.
     error,
-    /// Answers of nodes that could not be used, among the errors.
+    /// Responses of nodes that could not be used; also counted in `error`.
     spoilt,
-    /// Attempts that a node turned away unseen.
+    /// Attempts that a node rejected before it processed them.
     full,
-    /// Attempts without an answer in time.
+    /// Attempts without a response in time.
     timeout,
-    /// Attempts that never reached a node whole.
+    /// Attempts whose last byte never reached a node.
     connect_failed,
     /// Attempts whose connection broke after the last byte.
     reset,
-    /// Attempts called off.
+    /// Attempts cancelled after their last byte was written.
     cancelled,
-    /// Attempts not sent because the node no longer takes work.
+    /// Attempts not sent, or cancelled before their last byte was written.
     moot,
-    /// Attempts stopped before their first byte since the node had left by then, or had moved.
+    /// Attempts not begun because their node was draining or had a new address.
     held_back,
-    /// Attempts stopped before their first byte since their time was over by then.
+    /// Attempts not begun because their deadline had passed.
     held_back_deadline,
-    /// The same since their class's retry window had closed.
+    /// Attempts not begun because the retry window of their class had ended.
     held_back_window,
-    /// The same since the head was past its last moment.
+    /// Attempts not begun because the shutdown deadline had passed.
     held_back_end,
-    /// The same since their client had left.
+    /// Attempts not begun because their client had disconnected.
     held_back_client,
-    /// First bytes not written to a connection since something had come on it unasked; another was taken.
+    /// Connections not used because unexpected data had arrived on them; the attempt took another one.
     held_back_connection,
     /// Connections opened to nodes.
     node_connections,
     /// Connections accepted from clients.
     client_connections,
-    /// Connections of clients on which more came after their end than was read: it was dropped.
+    /// Client connections on which more data came after their end than was read; the rest was dropped.
     lingered,
-    /// Connections ended since their client sent more ahead of its answers than is held.
+    /// Client connections closed because more was pipelined than is buffered.
     floods,
-    /// Connections of clients that were reset, since an answer broke off in the middle.
+    /// Client connections reset because a response ended before its body was complete.
     broken_off,
-    /// Connections of the HTTP/2 front.
+    /// Connections of the HTTP/2 frontend.
     http2_connections,
-    /// Streams that it took.
+    /// HTTP/2 streams accepted.
     http2_streams,
-    /// Streams that it refused before anything of them was processed.
+    /// HTTP/2 streams refused before anything of them was processed.
     http2_refused,
-    /// Streams that clients reset before their answer was out.
+    /// HTTP/2 streams that clients reset before their response was complete.
     http2_resets,
-    /// Streams whose client took nothing of the answer.
+    /// HTTP/2 streams whose client read nothing of the response.
     http2_stalled,
-    /// Connections that it ended since they flooded it.
+    /// HTTP/2 connections closed because of flooding.
     http2_turned_out,
-    /// Sessions of the block front that passed their login.
+    /// iSCSI sessions that logged in.
     block_sessions,
-    /// SCSI commands of the block front.
+    /// SCSI commands.
     block_commands,
-    /// Commands ended with BUSY.
+    /// SCSI commands ended with BUSY.
     block_busy,
-    /// Commands ended with TASK SET FULL.
+    /// SCSI commands ended with TASK SET FULL.
     block_task_set_full,
-    /// PDUs of the block front that were rejected.
+    /// iSCSI PDUs rejected.
     block_rejects,
-    /// Requests answered because of a level of reduced service.
+    /// Requests shed because of a load-shedding level.
     withheld,
-    /// Changes of level, pins among them.
+    /// Changes of a load-shedding level, overrides included.
     level_changes,
-    /// Calls of the plug-in that went wrong.
+    /// Calls of the plug-in that failed.
     plugin_failures,
-    /// Idle connections closed because descriptors ran short.
+    /// Idle connections closed to free descriptors.
     reclaimed,
-    /// Changes of the node list that were taken in.
+    /// Changes of the endpoint list that were applied.
     list_changes,
-    /// Watches on the node list that ended.
+    /// Watches on the endpoint list that ended.
     watches_lost,
-    /// Calls for the node list and watches on it that were begun, connected or not.
+    /// Polls of the endpoint list and watches on it that were begun, connected or not.
     discovery_calls,
-    /// Lists and heartbeats that they brought.
+    /// Lists and heartbeats received from discovery.
     discovery_messages,
-    /// Bytes read from their connections, heads of answers among them.
+    /// Bytes read from discovery connections, response headers included.
     discovery_bytes_received,
-    /// Bytes written to their connections.
+    /// Bytes written to discovery connections.
     discovery_bytes_sent,
-    /// Configurations that were read again and applied.
+    /// Reloads of the configuration that were applied.
     reloads_ok,
-    /// Configurations that could not be read again.
+    /// Reloads of the configuration that failed.
     reloads_failed,
 }
 
-/// One request, from the head that named its class to its one final answer. Dropped without one, it is
-/// counted as gone; the gauge falls on every path.
+/// The accounting of one request, from the head that named its class to its one final answer. Dropped without an
+/// outcome, it counts as gone; the gauge of requests in flight falls in any case.
 #[derive(Debug)]
 pub struct InFlightRequest {
     counters: Rc<Counters>,
     class: ClassId,
-    taken: Cell<bool>,
-    settled: Cell<bool>,
+    is_accepted: Cell<bool>,
+    is_finished: Cell<bool>,
 }
 
 impl InFlightRequest {
-    /// Its last byte has come.
-    pub fn take(&self) {
-        if !self.taken.replace(true) {
-            self.counters.taken.add();
-            self.counters.in_flight.set(self.counters.in_flight.get() + 1);
+    /// Counts the request as accepted: its last byte has come.
+    pub fn accept(&self) {
+        if self.is_accepted.replace(true) {
+            return;
         }
+        self.counters.taken.add();
+        self.counters.in_flight.set(self.counters.in_flight.get() + 1);
     }
 
-    /// It has its final answer; only the first word counts.
-    pub fn settle(&self, end: FinalOutcome) {
-        if self.settled.replace(true) {
+    /// Counts its outcome; only the first one counts.
+    pub fn finish(&self, outcome: FinalOutcome) {
+        if self.is_finished.replace(true) {
             return;
         }
-        let (counters, class) = (&self.counters, self.counters.classes.get(self.class.0));
-        let (all, one) = match end {
-            FinalOutcome::Served => (&counters.served, class.map(|c| &c.served)),
-            FinalOutcome::Rejected => (&counters.refused, class.map(|c| &c.refused)),
-            FinalOutcome::Failed => (&counters.failed, class.map(|c| &c.failed)),
-        };
-        all.add();
-        one.into_iter().for_each(Counter::add);
+        self.counters.outcome_counter(outcome).add();
+        if let Some(class) = self.counters.classes.get(self.class.0) {
+            class.counter(outcome).add();
+        }
     }
 }
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        if self.taken.get() {
-            self.counters.in_flight.set(self.counters.in_flight.get() - 1);
-            if !self.settled.get() {
-                self.counters.gone.add();
-            }
+        if !self.is_accepted.get() {
+            return;
+        }
+        self.counters.in_flight.set(self.counters.in_flight.get() - 1);
+        if !self.is_finished.get() {
+            self.counters.gone.add();
         }
     }
 }
 
 impl Counters {
-    /// Counts for classes of these names.
-    pub fn new(classes: &[String]) -> Rc<Counters> {
-        let class = |name: &String| OfClass {
-            name: name.clone(),
-            served: Counter::default(),
-            refused: Counter::default(),
-            failed: Counter::default(),
-        };
-        Rc::new(Counters { classes: classes.iter().map(class).collect(), ..Counters::default() })
+    /// Counters of a head with classes of these names.
+    pub fn new(class_names: &[String]) -> Rc<Counters> {
+        let classes = class_names.iter().map(|name| ClassCounters::new(name)).collect();
+        Rc::new(Counters { classes, ..Counters::default() })
+    }
+
+    /// Sets the gauges of load shedding.
+    pub fn set_shedding(&self, shedding: SheddingGauges) {
+        self.shedding.set(shedding);
     }
 
-    /// Notes where the levels of reduced service stand.
-    pub fn set_levels(&self, levels: SheddingGauges) {
-        self.levels.set(levels);
+    /// The accounting of a request that begins.
+    pub fn track_request(self: &Rc<Self>, class: ClassId) -> InFlightRequest {
+        InFlightRequest {
+            counters: self.clone(),
+            class,
+            is_accepted: Cell::new(false),
+            is_finished: Cell::new(false),
+        }
     }
 
-    /// A request of a class begins.
-    pub fn flight(self: &Rc<Self>, class: ClassId) -> InFlightRequest {
-        InFlightRequest { counters: self.clone(), class, taken: Cell::new(false), settled: Cell::new(false) }
+    fn outcome_counter(&self, outcome: FinalOutcome) -> &Counter {
+        match outcome {
+            FinalOutcome::Served => &self.served,
+            FinalOutcome::Rejected => &self.refused,
+            FinalOutcome::Failed => &self.failed,
+        }
     }
 
-    /// The text that the operators' door shows: the Prometheus exposition format. `gauges` are figures of the
-    /// moment that are kept elsewhere.
+    /// The counters in the Prometheus exposition format, as the admin server answers it. `gauges` are measured
+    /// elsewhere.
     pub fn exposition(&self, gauges: &[(&str, usize)]) -> String {
         let mut text = String::from("# TYPE app_requests counter\n");
         for class in &self.classes {
-            for (outcome, count) in class.pairs() {
-                let count = count.get();
+            for (outcome, count) in class.figures() {
                 text += &format!("app_requests{{class=\"{}\",outcome=\"{outcome}\"}} {count}\n", class.name);
             }
         }
-        for (name, value) in self.pairs().iter().filter(|(n, _)| !["served", "refused", "failed"].contains(n))
-        {
+        for (name, value) in self.figures() {
+            if OUTCOME_COUNTERS.contains(&name) {
+                continue;
+            }
             let kind = if is_gauge(name) { "gauge" } else { "counter" };
             text += &format!("# TYPE app_{name} {kind}\napp_{name} {value}\n");
         }
@@ -290,8 +317,8 @@
         text
     }
 
-    /// Counts an attempt's end.
-    pub fn outcome(&self, outcome: AttemptOutcome) {
+    /// Counts the outcome of an attempt.
+    pub fn count_attempt(&self, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Ok => self.ok.add(),
             AttemptOutcome::Error => self.error.add(),
@@ -305,15 +332,16 @@
     }
 }
 
-/// Whether a figure tells the moment, and may fall.
+/// Whether a figure is a gauge, which may fall.
 pub fn is_gauge(name: &str) -> bool {
-    ["in_flight", "level", "halls_reduced", "levels_pinned"].contains(&name)
+    GAUGES.contains(&name)
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, (name, count)) in self.pairs().into_iter().enumerate() {
-            write!(f, "{}{name}={count}", if place == 0 { "" } else { " " })?;
+        for (index, (name, value)) in self.figures().into_iter().enumerate() {
+            let separator = if index == 0 { "" } else { " " };
+            write!(f, "{separator}{name}={value}")?;
         }
         Ok(())
     }
--- a/src/shedding/controller.rs
+++ b/src/shedding/controller.rs
@@ -139,7 +139,7 @@
             log::warn!(event = "level", scope:%, from:%, to:%; "levels: {transition}");
         }
         // Once a newer process serves, it writes the file.
-        if self.parts.lifecycle.leaving() {
+        if self.parts.lifecycle.should_reconnect() {
             return;
         }
         let now = self.now();
--- a/tests/peers/stand.rs
+++ b/tests/peers/stand.rs
@@ -125,6 +125,6 @@
 
     /// One of the counters.
     pub fn count(&self, name: &str) -> u64 {
-        self.counters.pairs().into_iter().find(|(n, _)| *n == name).expect("a counter").1
+        self.counters.figures().into_iter().find(|(n, _)| *n == name).expect("a counter").1
     }
 }
--- a/tests/races_core.rs
+++ b/tests/races_core.rs
@@ -346,7 +346,7 @@
                     }
                     sleep(notices).await;
                 };
-                let flight = counters.flight(ClassId(class));
+                let flight = counters.track_request(ClassId(class));
                 let answer = tokio::select! {
                     biased;
                     () = gone => None,
@@ -355,7 +355,7 @@
                 let word = match answer {
                     None => return,
                     Some(Answer::Served(_, flight)) => {
-                        flight.settle(FinalOutcome::Served);
+                        flight.finish(FinalOutcome::Served);
                         "served"
                     }
                     Some(Answer::Rejected { .. }) => "refused",
@@ -386,7 +386,7 @@
             checker.rule(task.is_finished(), "a request outlives the head");
         }
         checker.at_the_end();
-        let in_flight = counters.pairs().into_iter().find(|(name, _)| *name == "in_flight");
+        let in_flight = counters.figures().into_iter().find(|(name, _)| *name == "in_flight");
         checker.rule(in_flight == Some(("in_flight", 0)), "something is still counted as in flight");
         checker
     })
@@ -439,7 +439,7 @@
                 node_request: envelope,
             };
             let stuck = Stuck(written, Cell::new(false));
-            let answer = dispatcher.serve(&stuck, call, counters.flight(ClassId(3))).await;
+            let answer = dispatcher.serve(&stuck, call, counters.track_request(ClassId(3))).await;
             assert!(stuck.1.get(), "there was an attempt");
             assert_eq!(matches!(answer, Answer::Rejected { .. }), refused, "{written:?}: {answer:?}");
             assert!(now.elapsed() < Duration::from_millis(550), "{:?}", now.elapsed());
--- a/tests/scenarios_http.rs
+++ b/tests/scenarios_http.rs
@@ -217,13 +217,13 @@
         let mut client = Client::new(address);
         let (stream, _) = listener.accept().await.expect("the client");
         phases.enter(lifecycle::Phase::Draining);
-        phases.close_idle();
+        phases.close_idle_connections();
         front.admit(stream, budget.client_slot().await);
         for _ in 0..50 {
             tokio::task::yield_now().await;
         }
         client.send("GET /-/healthy HTTP/1.1\r\nHost: head\r\n\r\n", b"");
-        phases.all_closed().await;
+        phases.connections_closed().await;
         let answer = client.answer().expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
     });
