--- a/tests/races_core.rs
+++ b/tests/races_core.rs
@@ -1,6 +1,7 @@
-//! Requests, answers, drains, leaving clients and the head's end in any order, in virtual time: the core and the module
-//! as they are, round stand-ins for clients and nodes that act by seeds. A checker that knows nothing of either keeps
-//! the protocol's rules, and is shown to find each of three broken ways to the nodes.
+//! Races in the life of a request, in virtual time: requests, node responses, drains, client disconnects and the
+//! shutdown in any order. The core and the scheduler are the real ones; clients and the transport are simulated from a
+//! seed. An invariant checker, which knows nothing of either, verifies the protocol's rules and is shown to detect each
+//! of three faulty transports.
 
 mod peers;
 
@@ -20,247 +21,292 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::task::{LocalSet, spawn_local};
+use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// What the protocol adds to each of its times on sockets.
 const SLACK: Duration = Duration::from_millis(50);
-const GRACE: Duration = Duration::from_millis(250);
+/// How long after a node began to drain it may still be sent requests.
+const DRAIN_GRACE: Duration = Duration::from_millis(250);
+/// Seeds that the sound transport is checked with.
+const SEEDS: u64 = 5000;
 
-/// A way to the nodes, as it should be or broken.
+/// A fault of the simulated transport.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    Sound,
+enum TransportFault {
+    None,
     /// It writes whatever the permit says.
-    HeedsNoPermit,
-    /// It writes to nodes that drain.
-    HeedsNoDrain,
-    /// What is called off goes on, unseen.
-    OutlivesItsEnd,
+    IgnoresPermit,
+    /// It writes to draining nodes.
+    IgnoresDraining,
+    /// A cancelled attempt goes on, unseen by the core.
+    OutlivesCancellation,
 }
 
-/// Numbers by chance (xorshift).
-struct Draws(Cell<u64>);
+/// A random number generator (xorshift).
+struct Rng(Cell<u64>);
 
-impl Draws {
-    fn new(seed: u64) -> Draws {
-        Draws(Cell::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1))
+impl Rng {
+    fn new(seed: u64) -> Rng {
+        Rng(Cell::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1))
     }
 
-    fn below(&self, most: u64) -> u64 {
+    fn below(&self, limit: u64) -> u64 {
         let mut state = self.0.get();
         state ^= state << 13;
         state ^= state >> 7;
         state ^= state << 17;
         self.0.set(state);
-        (state >> 11) % most
+        (state >> 11) % limit
     }
 
-    fn millis(&self, most: u64) -> Duration {
-        Duration::from_micros(self.below(most * 1000))
+    fn millis_below(&self, limit: u64) -> Duration {
+        Duration::from_micros(self.below(limit * 1000))
     }
 }
 
 /// What is known of one request from outside.
 #[derive(Default)]
-struct Record {
-    repeat: Option<Idempotency>,
+struct RequestRecord {
+    idempotency: Option<Idempotency>,
     deadline: Option<Instant>,
-    left: Option<Instant>,
-    out: u32,
+    disconnected_at: Option<Instant>,
+    attempts_in_progress: u32,
     /// When the first attempt began that may have run, and at which node.
-    ran: Option<(Instant, NodeId)>,
-    answered: Option<(Instant, &'static str)>,
+    may_have_run: Option<(Instant, NodeId)>,
+    answer: Option<(Instant, &'static str)>,
 }
 
-/// Keeps the rules.
+/// Verifies the rules of the protocol.
 #[derive(Default)]
-struct Checker {
-    records: RefCell<HashMap<Bytes, Record>>,
-    draining: RefCell<HashMap<NodeId, Instant>>,
-    end: Cell<Option<Instant>>,
-    broken: RefCell<Vec<String>>,
-    first_bytes: Cell<u32>,
-    further: Cell<u32>,
+struct InvariantChecker {
+    requests: RefCell<HashMap<Bytes, RequestRecord>>,
+    draining_since: RefCell<HashMap<NodeId, Instant>>,
+    shutdown_deadline: Cell<Option<Instant>>,
+    violations: RefCell<Vec<String>>,
+    attempts: Cell<u32>,
+    retries: Cell<u32>,
 }
 
-impl Checker {
-    fn rule(&self, holds: bool, what: &str) {
+impl InvariantChecker {
+    fn check(&self, holds: bool, violation: &str) {
         if !holds {
-            self.broken.borrow_mut().push(what.into());
+            self.violations.borrow_mut().push(violation.into());
         }
     }
 
-    /// An attempt's first byte is written.
-    fn first_byte(&self, id: &Bytes, node: NodeId, now: Instant) {
-        self.first_bytes.set(self.first_bytes.get() + 1);
-        let (mut records, past) =
-            (self.records.borrow_mut(), |at: Option<Instant>| at.is_some_and(|at| now > at));
-        let Some(record) = records.get_mut(id) else {
-            return self.rule(false, "a request that no client sent");
+    /// The first byte of an attempt is written.
+    fn attempt_began(&self, id: &Bytes, node: NodeId, now: Instant) {
+        self.attempts.set(self.attempts.get() + 1);
+        let has_passed = |limit: Option<Instant>| limit.is_some_and(|limit| now > limit);
+        let mut requests = self.requests.borrow_mut();
+        let Some(request) = requests.get_mut(id) else {
+            return self.check(false, "a request that no client sent");
         };
-        self.rule(record.out == 0, "two attempts of a request are out");
-        self.rule(!past(record.left), "sent on after its client left");
-        self.rule(!past(self.end.get()), "sent on past the head's last moment");
-        self.rule(!past(record.deadline), "sent on past its deadline");
-        self.rule(record.answered.is_none(), "sent on after its answer");
-        let told = self.draining.borrow().get(&node).map(|at| *at + GRACE + SLACK);
-        self.rule(!past(told), "sent to a node that drains");
-        if let Some((at, ran_at)) = record.ran {
-            self.further.set(self.further.get() + 1);
-            match record.repeat {
-                Some(Idempotency::NotIdempotent) => self.rule(false, "an unsafe request is sent again"),
-                Some(Idempotency::WithKey { scope: group, window_s: window }) => {
-                    let window = Duration::from_secs_f64(window) + SLACK;
-                    self.rule(now <= at + window, "sent again past its window");
-                    self.rule(
-                        group == DeduplicationScope::AllNodes || ran_at == node,
-                        "sent again outside its group",
-                    );
-                }
-                _ => {}
+        self.check(request.attempts_in_progress == 0, "two attempts of a request in progress");
+        self.check(!has_passed(request.disconnected_at), "sent after its client disconnected");
+        self.check(!has_passed(self.shutdown_deadline.get()), "sent past the shutdown deadline");
+        self.check(!has_passed(request.deadline), "sent past its deadline");
+        self.check(request.answer.is_none(), "sent after its answer");
+        let draining_since = self.draining_since.borrow().get(&node).copied();
+        let must_know_by = draining_since.map(|since| since + DRAIN_GRACE + SLACK);
+        self.check(!has_passed(must_know_by), "sent to a draining node");
+        if let Some((first_at, first_node)) = request.may_have_run {
+            self.retries.set(self.retries.get() + 1);
+            self.check_retry(request.idempotency, now - first_at, first_node == node);
+        }
+        request.attempts_in_progress += 1;
+    }
+
+    /// A retry of what may have run, so long after the first attempt.
+    fn check_retry(&self, idempotency: Option<Idempotency>, elapsed: Duration, is_same_node: bool) {
+        match idempotency {
+            Some(Idempotency::NotIdempotent) => self.check(false, "retry of a request that isn't idempotent"),
+            Some(Idempotency::WithKey { scope, window_s }) => {
+                let window = Duration::from_secs_f64(window_s) + SLACK;
+                let is_in_scope = scope == DeduplicationScope::AllNodes || is_same_node;
+                self.check(elapsed <= window, "retry past its window");
+                self.check(is_in_scope, "retry outside its deduplication scope");
             }
+            Some(Idempotency::Idempotent) | None => {}
         }
-        record.out += 1;
     }
 
-    /// An attempt is over; whether it may have run.
-    fn over(&self, id: &Bytes, node: NodeId, began: Instant, may_have_run: bool) {
-        if let Some(record) = self.records.borrow_mut().get_mut(id) {
-            record.out -= 1;
+    /// An attempt has ended; whether it may have run.
+    fn attempt_ended(&self, id: &Bytes, node: NodeId, began_at: Instant, may_have_run: bool) {
+        if let Some(request) = self.requests.borrow_mut().get_mut(id) {
+            request.attempts_in_progress -= 1;
             if may_have_run {
-                record.ran.get_or_insert((began, node));
+                request.may_have_run.get_or_insert((began_at, node));
             }
         }
     }
 
-    fn answered(&self, id: &Bytes, word: &'static str, now: Instant) {
-        let mut records = self.records.borrow_mut();
-        let Some(record) = records.get_mut(id) else { return };
-        self.rule(record.answered.replace((now, word)).is_none(), "a second final answer");
-        self.rule(record.out == 0, "answered with an attempt still out");
-        let free = matches!(
-            record.repeat,
+    fn request_answered(&self, id: &Bytes, answer: &'static str, now: Instant) {
+        let mut requests = self.requests.borrow_mut();
+        let Some(request) = requests.get_mut(id) else { return };
+        self.check(request.answer.replace((now, answer)).is_none(), "a second final answer");
+        self.check(request.attempts_in_progress == 0, "answered with an attempt in progress");
+        let may_be_retried = matches!(
+            request.idempotency,
             Some(Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::AllNodes, .. })
         );
-        self.rule(word != "refused" || free || record.ran.is_none(), "refused what may have run");
+        let has_no_effect = may_be_retried || request.may_have_run.is_none();
+        self.check(answer != "rejected" || has_no_effect, "rejected what may have run");
+    }
+
+    fn client_disconnected(&self, id: &Bytes, at: Instant) {
+        if let Some(request) = self.requests.borrow_mut().get_mut(id) {
+            request.disconnected_at = Some(at);
+        }
     }
 
-    /// When all is over.
-    fn at_the_end(&self) {
-        for record in self.records.borrow().values() {
-            let due = record.deadline.expect("a deadline").min(self.end.get().expect("an end")) + SLACK;
-            match (record.answered, record.left) {
-                (Some((at, _)), _) => self.rule(at <= due, "answered too late"),
-                (None, left) => self.rule(left.is_some(), "never answered"),
+    /// The rules that hold once the shutdown is over.
+    fn check_after_shutdown(&self) {
+        let shutdown_deadline = self.shutdown_deadline.get().expect("a shutdown deadline");
+        for request in self.requests.borrow().values() {
+            let due = request.deadline.expect("a deadline").min(shutdown_deadline) + SLACK;
+            match request.answer {
+                Some((at, _)) => self.check(at <= due, "answered too late"),
+                None => self.check(request.disconnected_at.is_some(), "never answered"),
             }
-            self.rule(record.out == 0, "an attempt outlives the head");
+            self.check(request.attempts_in_progress == 0, "an attempt outlives the process");
         }
     }
 }
 
-/// Where nodes are to be reached.
-struct Wire {
-    way: Way,
-    draws: Draws,
-    checker: Rc<Checker>,
+/// A transport whose nodes answer by chance.
+struct SimulatedTransport {
+    fault: TransportFault,
+    rng: Rng,
+    checker: Rc<InvariantChecker>,
 }
 
-/// An attempt whose first byte was written, until it is over on the wire.
-struct Out {
-    checker: Rc<Checker>,
+/// An attempt whose first byte was written, until it has ended for the node.
+struct AttemptGuard {
+    checker: Rc<InvariantChecker>,
     id: Bytes,
     node: NodeId,
-    began: Instant,
+    began_at: Instant,
     permit: Rc<SendPermit>,
-    outlives: Option<Duration>,
+    outlives_drop_for: Option<Duration>,
 }
 
-impl Drop for Out {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        let (checker, id, node, began) = (self.checker.clone(), self.id.clone(), self.node, self.began);
-        let ran = self.permit.written.get() == WriteProgress::Complete;
-        match self.outlives {
+        let checker = self.checker.clone();
+        let id = self.id.clone();
+        let node = self.node;
+        let began_at = self.began_at;
+        let may_have_run = self.permit.written.get() == WriteProgress::Complete;
+        match self.outlives_drop_for {
             Some(time) => {
                 spawn_local(async move {
                     sleep(time).await;
-                    checker.over(&id, node, began, ran);
+                    checker.attempt_ended(&id, node, began_at, may_have_run);
                 });
             }
-            None => checker.over(&id, node, began, ran),
+            None => checker.attempt_ended(&id, node, began_at, may_have_run),
         }
     }
 }
 
-impl Transport for Wire {
-    async fn send(&self, node: NodeId, envelope: &NodeRequest, permit: &Rc<SendPermit>) -> AttemptResult {
-        let (draws, began) = (&self.draws, Instant::now());
-        let connect = match draws.below(4) {
-            0 => draws.millis(1500),
-            _ => draws.millis(3),
-        };
-        let by = if self.way == Way::HeedsNoPermit { permit.expires_at } else { permit.latest_start() };
-        if began + connect > by {
-            sleep_until(by).await;
-            return AttemptResult::empty(AttemptOutcome::ConnectFailed);
-        }
-        sleep(connect).await;
-        let drains = self.checker.draining.borrow().contains_key(&node);
-        let late = permit.expired(Instant::now()).is_some() && self.way != Way::HeedsNoPermit;
-        if late || drains && self.way != Way::HeedsNoDrain {
-            return AttemptResult::empty(AttemptOutcome::NotSent);
-        }
-        self.checker.first_byte(&envelope.id, node, Instant::now());
-        let outlives = (self.way == Way::OutlivesItsEnd).then(|| draws.millis(300));
-        let (checker, id, permit) = (self.checker.clone(), envelope.id.clone(), permit.clone());
-        let out = Out { checker, id, node, began, permit: permit.clone(), outlives };
-        permit.written.set(WriteProgress::Partial);
-        if draws.below(12) == 0 {
-            return AttemptResult::empty(AttemptOutcome::ConnectFailed);
-        }
-        sleep(draws.millis(4)).await;
-        permit.written.set(WriteProgress::Complete);
-        let outcome = match draws.below(10) {
+impl SimulatedTransport {
+    /// Whether the attempt may not begin, as far as this transport respects that.
+    fn is_stopped(&self, node: NodeId, permit: &SendPermit) -> bool {
+        let is_draining = self.checker.draining_since.borrow().contains_key(&node);
+        let has_expired = permit.expired(Instant::now()).is_some();
+        let respects_permit = self.fault != TransportFault::IgnoresPermit;
+        let respects_draining = self.fault != TransportFault::IgnoresDraining;
+        has_expired && respects_permit || is_draining && respects_draining
+    }
+
+    /// Waits for the node's response to a request that was written completely.
+    async fn response(&self, permit: &SendPermit) -> AttemptOutcome {
+        match self.rng.below(10) {
             0 => AttemptOutcome::Error,
             1 => AttemptOutcome::Reset,
             2 => {
-                // Turned away unseen.
+                // Rejected before the node processed it.
                 permit.written.set(WriteProgress::Partial);
                 AttemptOutcome::Rejected
             }
             3 => {
                 sleep_until(permit.expires_at).await;
-                return AttemptResult::empty(AttemptOutcome::Timeout);
+                AttemptOutcome::Timeout
             }
             4..=6 => AttemptOutcome::Ok,
             _ => {
-                sleep(draws.millis(900)).await;
+                sleep(self.rng.millis_below(900)).await;
                 AttemptOutcome::Ok
             }
+        }
+    }
+}
+
+impl Transport for SimulatedTransport {
+    async fn send(&self, node: NodeId, request: &NodeRequest, permit: &Rc<SendPermit>) -> AttemptResult {
+        let began_at = Instant::now();
+        let connect_time = match self.rng.below(4) {
+            0 => self.rng.millis_below(1500),
+            _ => self.rng.millis_below(3),
+        };
+        let connected_by = match self.fault {
+            TransportFault::IgnoresPermit => permit.expires_at,
+            _ => permit.latest_start(),
+        };
+        if began_at + connect_time > connected_by {
+            sleep_until(connected_by).await;
+            return AttemptResult::empty(AttemptOutcome::ConnectFailed);
+        }
+        sleep(connect_time).await;
+        if self.is_stopped(node, permit) {
+            return AttemptResult::empty(AttemptOutcome::NotSent);
+        }
+        self.checker.attempt_began(&request.id, node, Instant::now());
+        let outlives_drop = self.fault == TransportFault::OutlivesCancellation;
+        let attempt = AttemptGuard {
+            checker: self.checker.clone(),
+            id: request.id.clone(),
+            node,
+            began_at,
+            permit: permit.clone(),
+            outlives_drop_for: outlives_drop.then(|| self.rng.millis_below(300)),
         };
-        sleep(draws.millis(40)).await;
-        drop(out);
+        permit.written.set(WriteProgress::Partial);
+        if self.rng.below(12) == 0 {
+            return AttemptResult::empty(AttemptOutcome::ConnectFailed);
+        }
+        sleep(self.rng.millis_below(4)).await;
+        permit.written.set(WriteProgress::Complete);
+        let outcome = self.response(permit).await;
+        if outcome != AttemptOutcome::Timeout {
+            sleep(self.rng.millis_below(40)).await;
+        }
+        drop(attempt);
         AttemptResult::empty(outcome)
     }
 }
 
-/// A client that may leave.
+/// A client that may disconnect.
 #[derive(Debug)]
-struct Waits(Rc<Cell<bool>>);
+struct SimulatedClient {
+    is_connected: Rc<Cell<bool>>,
+}
 
-impl Client for Waits {
+impl Client for SimulatedClient {
     fn is_connected(&self) -> bool {
-        self.0.get()
+        self.is_connected.get()
     }
 }
 
 fn settings() -> SchedulerSettings {
-    let class = |deadline, repeat| Class {
+    let class = |deadline_s, idempotency| Class {
         latency_objective_s: 0.2,
-        deadline_s: deadline,
+        deadline_s,
         priority_weight: 1.0,
         late_fraction: 0.2,
-        idempotency: repeat,
+        idempotency,
         ordered: false,
     };
     let (read, _) = config::read(peers::SETTINGS.as_bytes()).expect("settings");
@@ -273,209 +319,280 @@
     SchedulerSettings { classes, plans: vec![], ..read }
 }
 
-/// One day of two nodes and some clients, by a seed; the checker that watched it.
-fn day(way: Way, seed: u64) -> Rc<Checker> {
+fn endpoint(node: u64, state: NodeState) -> Endpoint {
+    let shard = ShardId(node as u32 % 2);
+    Endpoint { node: NodeId(node), shard, started_at: 0.0, zone: ZoneId(0), state }
+}
+
+fn write_request(id: Bytes) -> NodeRequest {
+    NodeRequest {
+        operation: Operation::Write,
+        target: "/a/1/2".into(),
+        id,
+        idempotency_key: None,
+        payload: Payload::Buffered(Bytes::new()),
+    }
+}
+
+fn call(class: ClassId, shard: ShardId, deadline: Instant, id: Bytes) -> Call {
+    Call {
+        class,
+        plan: PlanId(0),
+        volume: VolumeId(1),
+        extent: None,
+        shard: Some(shard),
+        units: 1.0,
+        heads: 1,
+        client_retry: false,
+        deadline,
+        client: None,
+        node_request: Rc::new(write_request(id)),
+    }
+}
+
+fn block_on_virtual_time<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let (draws, checker, settings) = (Draws::new(seed), Rc::new(Checker::default()), settings());
+    LocalSet::new().block_on(&runtime.expect("a runtime"), test)
+}
+
+/// A head with its clients and its transport.
+#[derive(Clone)]
+struct Simulation {
+    dispatcher: Rc<Dispatcher>,
+    transport: Rc<SimulatedTransport>,
+    checker: Rc<InvariantChecker>,
+    counters: Rc<Counters>,
+    shutdown_deadline: Instant,
+}
+
+/// What a client does.
+struct ClientPlan {
+    id: Bytes,
+    class: ClassId,
+    idempotency: Idempotency,
+    shard: ShardId,
+    sends_at: Instant,
+    timeout: Duration,
+    disconnects_after: Option<Duration>,
+    /// How long a frontend takes to notice that it has disconnected.
+    noticed_after: Duration,
+}
+
+impl ClientPlan {
+    fn random(
+        rng: &Rng,
+        number: u64,
+        settings: &SchedulerSettings,
+        started_at: Instant,
+        shutdown_deadline: Instant,
+    ) -> ClientPlan {
+        // What comes later finds no head.
+        let sends_at = (started_at + rng.millis_below(3000)).min(shutdown_deadline);
+        let class = ClassId(rng.below(4) as usize);
+        let Class { deadline_s, idempotency, .. } = settings.classes[class.0];
+        let timeout_fraction = 0.2 + 0.8 * rng.below(100) as f64 / 100.0;
+        let disconnects_after = (rng.below(3) == 0).then(|| rng.millis_below(1200));
+        let noticed_after = rng.millis_below(250);
+        let shard = ShardId(rng.below(2) as u32);
+        ClientPlan {
+            id: Bytes::from(format!("{number:016x}")),
+            class,
+            idempotency,
+            shard,
+            sends_at,
+            timeout: Duration::from_secs_f64(deadline_s).mul_f64(timeout_fraction),
+            disconnects_after,
+            noticed_after,
+        }
+    }
+}
+
+impl Simulation {
+    fn start(fault: TransportFault, seed: u64, settings: &SchedulerSettings, rng: &Rng) -> Simulation {
+        let checker = Rc::new(InvariantChecker::default());
         let counters = Counters::new(&["a".into(), "b".into(), "c".into(), "d".into()]);
-        let dispatcher =
-            Dispatcher::new(settings.clone(), seed, Clock::start(), counters.clone()).expect("served");
-        let keeper = dispatcher.clone();
-        spawn_local(async move { keeper.run_timers().await });
-        let wire = Rc::new(Wire { way, draws: Draws::new(seed ^ 0x55), checker: checker.clone() });
-        let node = |number: u64, state| Endpoint {
-            node: NodeId(number),
-            shard: ShardId(number as u32 % 2),
-            started_at: 0.0,
-            zone: ZoneId(0),
-            state,
+        let dispatcher = start_dispatcher(settings.clone(), seed, counters.clone());
+        let transport_rng = Rng::new(seed ^ 0x55);
+        let transport = SimulatedTransport { fault, rng: transport_rng, checker: checker.clone() };
+        let endpoints = [1, 2].map(|node| endpoint(node, NodeState::Ready)).to_vec();
+        dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints }]);
+        let shutdown_deadline = Instant::now() + Duration::from_millis(1500) + rng.millis_below(2500);
+        Simulation { dispatcher, transport: Rc::new(transport), checker, counters, shutdown_deadline }
+    }
+
+    async fn run_client(self, plan: ClientPlan) {
+        sleep_until(plan.sends_at).await;
+        if plan.sends_at >= self.shutdown_deadline {
+            return;
+        }
+        let deadline = plan.sends_at + plan.timeout;
+        let record = RequestRecord {
+            idempotency: Some(plan.idempotency),
+            deadline: Some(deadline),
+            ..RequestRecord::default()
+        };
+        self.checker.requests.borrow_mut().insert(plan.id.clone(), record);
+        let is_connected = Rc::new(Cell::new(true));
+        let client = Rc::new(SimulatedClient { is_connected: is_connected.clone() });
+        let request = call(plan.class, plan.shard, deadline, plan.id.clone());
+        let request = Call { client: Some(client), ..request };
+        let disconnect_noticed = async {
+            let Some(after) = plan.disconnects_after else { return std::future::pending().await };
+            let disconnects_at = plan.sends_at + after;
+            sleep_until(disconnects_at).await;
+            is_connected.set(false);
+            self.checker.client_disconnected(&plan.id, disconnects_at);
+            sleep(plan.noticed_after).await;
+        };
+        let in_flight = self.counters.track_request(plan.class);
+        let answer = tokio::select! {
+            biased;
+            () = disconnect_noticed => return,
+            answer = self.dispatcher.serve(&*self.transport, request, in_flight) => answer,
+        };
+        let answer = match answer {
+            Answer::Served(_, in_flight) => {
+                in_flight.finish(FinalOutcome::Served);
+                "served"
+            }
+            Answer::Rejected { .. } => "rejected",
+            Answer::Failed => "failed",
         };
-        let ready = [1, 2].map(|number| node(number, NodeState::Ready)).to_vec();
-        dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: ready }]);
-        let began = Instant::now();
-        let end = began + Duration::from_millis(1500) + draws.millis(2500);
-        let mut tasks = Vec::new();
-        for number in 0..8 + draws.below(12) {
-            // What comes later finds no head.
-            let (at, class) = ((began + draws.millis(3000)).min(end), draws.below(4) as usize);
-            let wait = Duration::from_secs_f64(settings.classes[class].deadline_s)
-                .mul_f64(0.2 + 0.8 * draws.below(100) as f64 / 100.0);
-            let leaves = (draws.below(3) == 0).then(|| draws.millis(1200));
-            // What a front takes to notice.
-            let notices = draws.millis(250);
-            let id = Bytes::from(format!("{number:016x}"));
-            let (repeat, shard) = (settings.classes[class].idempotency, draws.below(2) as u32);
-            let (dispatcher, wire, checker, counters) =
-                (dispatcher.clone(), wire.clone(), checker.clone(), counters.clone());
-            tasks.push(spawn_local(async move {
-                sleep_until(at).await;
-                if at >= end {
-                    return;
-                }
-                let (deadline, left) = (at + wait, leaves.map(|after| at + after));
-                let record = Record { repeat: Some(repeat), deadline: Some(deadline), ..Record::default() };
-                checker.records.borrow_mut().insert(id.clone(), record);
-                let waits = Rc::new(Cell::new(true));
-                let envelope = NodeRequest {
-                    operation: Operation::Write,
-                    target: "/a/1/2".into(),
-                    id: id.clone(),
-                    idempotency_key: None,
-                    payload: Payload::Buffered(Bytes::new()),
-                };
-                let call = Call {
-                    class: ClassId(class),
-                    plan: PlanId(0),
-                    volume: VolumeId(1),
-                    extent: None,
-                    shard: Some(ShardId(shard)),
-                    units: 1.0,
-                    heads: 1,
-                    client_retry: false,
-                    deadline,
-                    client: Some(Rc::new(Waits(waits.clone()))),
-                    node_request: Rc::new(envelope),
-                };
-                let gone = async {
-                    let Some(left) = left else { return std::future::pending().await };
-                    sleep_until(left).await;
-                    waits.set(false);
-                    if let Some(record) = checker.records.borrow_mut().get_mut(&id) {
-                        record.left = Some(left);
-                    }
-                    sleep(notices).await;
-                };
-                let flight = counters.track_request(ClassId(class));
-                let answer = tokio::select! {
-                    biased;
-                    () = gone => None,
-                    answer = dispatcher.serve(&*wire, call, flight) => Some(answer),
-                };
-                let word = match answer {
-                    None => return,
-                    Some(Answer::Served(_, flight)) => {
-                        flight.finish(FinalOutcome::Served);
-                        "served"
-                    }
-                    Some(Answer::Rejected { .. }) => "refused",
-                    Some(Answer::Failed) => "failed",
-                };
-                checker.answered(&id, word, Instant::now());
-            }));
+        self.checker.request_answered(&plan.id, answer, Instant::now());
+    }
+
+    async fn drain_node(self, node: u64, at: Instant) {
+        sleep_until(at).await;
+        self.checker.draining_since.borrow_mut().insert(NodeId(node), at);
+        let endpoints = vec![endpoint(node, NodeState::Draining)];
+        self.dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints }]);
+    }
+
+    /// Shuts the head down, announced some time before, as by SIGTERM.
+    async fn shut_down(&self, announced_before: Duration) {
+        sleep_until(self.shutdown_deadline - announced_before).await;
+        self.checker.shutdown_deadline.set(Some(self.shutdown_deadline));
+        self.dispatcher.set_shutdown_deadline(self.shutdown_deadline);
+        sleep_until(self.shutdown_deadline + Duration::from_secs(1)).await;
+    }
+
+    fn check_after_shutdown(&self, clients: &[JoinHandle<()>]) {
+        for client in clients {
+            self.checker.check(client.is_finished(), "a request outlives the process");
         }
-        for number in [1, 2] {
-            let (at, drains) = (began + draws.millis(4000), draws.below(2) == 0);
-            let (dispatcher, checker) = (dispatcher.clone(), checker.clone());
-            spawn_local(async move {
-                sleep_until(at).await;
-                if drains {
-                    checker.draining.borrow_mut().insert(NodeId(number), at);
-                    let nodes = vec![node(number, NodeState::Draining)];
-                    dispatcher
-                        .notify(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints: nodes }]);
-                }
-            });
+        self.checker.check_after_shutdown();
+        let in_flight = self.counters.figures().into_iter().find(|(name, _)| *name == "in_flight");
+        self.checker.check(in_flight == Some(("in_flight", 0)), "something is still counted as in flight");
+    }
+}
+
+fn start_dispatcher(settings: SchedulerSettings, seed: u64, counters: Rc<Counters>) -> Rc<Dispatcher> {
+    let dispatcher = Dispatcher::new(settings, seed, Clock::start(), counters).expect("valid settings");
+    let timers = dispatcher.clone();
+    spawn_local(async move { timers.run_timers().await });
+    dispatcher
+}
+
+/// Simulates a head with two nodes and some clients from a seed, from its start to the end of its shutdown; the
+/// checker that observed it.
+fn simulate(fault: TransportFault, seed: u64) -> Rc<InvariantChecker> {
+    block_on_virtual_time(async {
+        let rng = Rng::new(seed);
+        let settings = settings();
+        let started_at = Instant::now();
+        let simulation = Simulation::start(fault, seed, &settings, &rng);
+        let mut clients = Vec::new();
+        for number in 0..8 + rng.below(12) {
+            let shutdown_deadline = simulation.shutdown_deadline;
+            let plan = ClientPlan::random(&rng, number, &settings, started_at, shutdown_deadline);
+            clients.push(spawn_local(simulation.clone().run_client(plan)));
         }
-        // Told some time before, as by SIGTERM.
-        sleep_until(end - draws.millis(1000)).await;
-        checker.end.set(Some(end));
-        dispatcher.set_shutdown_deadline(end);
-        sleep_until(end + Duration::from_secs(1)).await;
-        for task in tasks {
-            checker.rule(task.is_finished(), "a request outlives the head");
+        for node in [1, 2] {
+            let at = started_at + rng.millis_below(4000);
+            let drains = rng.below(2) == 0;
+            if drains {
+                spawn_local(simulation.clone().drain_node(node, at));
+            }
         }
-        checker.at_the_end();
-        let in_flight = counters.figures().into_iter().find(|(name, _)| *name == "in_flight");
-        checker.rule(in_flight == Some(("in_flight", 0)), "something is still counted as in flight");
-        checker
+        simulation.shut_down(rng.millis_below(1000)).await;
+        simulation.check_after_shutdown(&clients);
+        simulation.checker
     })
 }
 
-/// A way to nodes on which an attempt comes so far and no further; whether one came.
-struct Stuck(WriteProgress, Cell<bool>);
+/// A transport whose attempts get to one point and never end.
+struct HangingTransport {
+    written: WriteProgress,
+    has_sent: Cell<bool>,
+}
 
-impl Transport for Stuck {
+impl Transport for HangingTransport {
     async fn send(&self, _: NodeId, _: &NodeRequest, permit: &Rc<SendPermit>) -> AttemptResult {
-        permit.written.set(self.0);
-        self.1.set(true);
+        permit.written.set(self.written);
+        self.has_sent.set(true);
         std::future::pending().await
     }
 }
 
-/// The head's end comes while an unsafe request's attempt is still connecting, in the middle of writing, or waited for: only
-/// what its node had whole may have run, and is no refusal.
+/// The shutdown deadline passes while the attempt of a request that isn't idempotent still connects, is partially
+/// written, or waits for its response: only what its node had complete may have run, and is not rejected.
 #[test]
-fn at_the_end_what_never_was_whole_at_its_node_is_refused() {
-    for (written, refused) in
+fn at_shutdown_a_request_that_no_node_had_complete_is_rejected() {
+    for (written, is_rejected) in
         [(WriteProgress::Nothing, true), (WriteProgress::Partial, true), (WriteProgress::Complete, false)]
     {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-        LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+        block_on_virtual_time(async {
             let counters = Rc::new(Counters::default());
-            let dispatcher =
-                Dispatcher::new(settings(), 1, Clock::start(), counters.clone()).expect("served");
-            let (node, shard, zone) = (NodeId(1), ShardId(0), ZoneId(0));
-            let node = Endpoint { node, shard, started_at: 0.0, zone, state: NodeState::Ready };
+            let dispatcher = start_dispatcher(settings(), 1, counters.clone());
+            let node = Endpoint { shard: ShardId(0), ..endpoint(1, NodeState::Ready) };
             dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Snapshot, endpoints: vec![node] }]);
-            let (now, keeper) = (Instant::now(), dispatcher.clone());
-            spawn_local(async move { keeper.run_timers().await });
-            dispatcher.set_shutdown_deadline(now + Duration::from_millis(500));
-            let payload = Payload::Buffered(Bytes::new());
-            let (verb, target, id) = (Operation::Write, "/d/1/2".into(), Bytes::from_static(b"1"));
-            let envelope =
-                Rc::new(NodeRequest { operation: verb, target, id, idempotency_key: None, payload });
-            let call = Call {
-                class: ClassId(3),
-                plan: PlanId(0),
-                volume: VolumeId(1),
-                extent: None,
-                shard: Some(ShardId(0)),
-                units: 1.0,
-                heads: 1,
-                client_retry: false,
-                deadline: now + Duration::from_secs(1),
-                client: None,
-                node_request: envelope,
-            };
-            let stuck = Stuck(written, Cell::new(false));
-            let answer = dispatcher.serve(&stuck, call, counters.track_request(ClassId(3))).await;
-            assert!(stuck.1.get(), "there was an attempt");
-            assert_eq!(matches!(answer, Answer::Rejected { .. }), refused, "{written:?}: {answer:?}");
-            assert!(now.elapsed() < Duration::from_millis(550), "{:?}", now.elapsed());
+            let started_at = Instant::now();
+            dispatcher.set_shutdown_deadline(started_at + Duration::from_millis(500));
+            let class = ClassId(3);
+            let deadline = started_at + Duration::from_secs(1);
+            let request = call(class, ShardId(0), deadline, Bytes::from_static(b"1"));
+            let transport = HangingTransport { written, has_sent: Cell::new(false) };
+
+            let answer = dispatcher.serve(&transport, request, counters.track_request(class)).await;
+
+            assert!(transport.has_sent.get(), "there was an attempt");
+            assert_eq!(matches!(answer, Answer::Rejected { .. }), is_rejected, "{written:?}: {answer:?}");
+            let elapsed = started_at.elapsed();
+            assert!(elapsed < Duration::from_millis(550), "{elapsed:?}");
         });
     }
 }
 
-const SEEDS: u64 = 5000;
-
 #[test]
-fn the_rules_hold_in_every_order_of_requests_answers_drains_leaving_and_the_end() {
-    let (mut sent, mut further) = (0, 0);
+fn the_invariants_hold_in_every_order_of_requests_responses_drains_disconnects_and_shutdown() {
+    let mut attempts = 0;
+    let mut retries = 0;
     for seed in 1..=SEEDS {
-        let checker = day(Way::Sound, seed);
-        assert!(checker.broken.borrow().is_empty(), "seed {seed}: {:?}", checker.broken.borrow());
-        sent += checker.first_bytes.get();
-        further += checker.further.get();
+        let checker = simulate(TransportFault::None, seed);
+        let violations = checker.violations.borrow();
+        assert!(violations.is_empty(), "seed {seed}: {violations:?}");
+        attempts += checker.attempts.get();
+        retries += checker.retries.get();
     }
-    assert!(sent > 10 * SEEDS as u32 / 2 && further > SEEDS as u32 / 4, "{sent} sent, {further} again");
+    let enough = attempts > 10 * SEEDS as u32 / 2 && retries > SEEDS as u32 / 4;
+    assert!(enough, "{attempts} attempts, {retries} retries");
 }
 
 #[test]
-fn the_checker_finds_a_way_to_the_nodes_that_is_broken() {
-    let found = |way, words: &[&str]| {
-        let all: Vec<String> =
-            (1..=SEEDS / 10).flat_map(|seed| day(way, seed).broken.borrow().clone()).collect();
-        for word in words {
-            assert!(all.iter().any(|what| what == word), "{way:?}: not once {word:?}");
+fn the_checker_detects_each_faulty_transport() {
+    let assert_detects = |fault, expected: &[&str]| {
+        let mut found = Vec::new();
+        for seed in 1..=SEEDS / 10 {
+            found.extend(simulate(fault, seed).violations.borrow().clone());
+        }
+        for violation in expected {
+            assert!(found.iter().any(|found| found == violation), "{fault:?}: not once {violation:?}");
         }
     };
-    let late = [
-        "sent on after its client left",
-        "sent on past the head's last moment",
-        "sent again past its window",
-    ];
-    found(Way::HeedsNoPermit, &late);
-    found(Way::HeedsNoDrain, &["sent to a node that drains"]);
-    found(Way::OutlivesItsEnd, &["two attempts of a request are out", "answered with an attempt still out"]);
+    let sent_late =
+        ["sent after its client disconnected", "sent past the shutdown deadline", "retry past its window"];
+    assert_detects(TransportFault::IgnoresPermit, &sent_late);
+    assert_detects(TransportFault::IgnoresDraining, &["sent to a draining node"]);
+    let overlapping = ["two attempts of a request in progress", "answered with an attempt in progress"];
+    assert_detects(TransportFault::OutlivesCancellation, &overlapping);
 }
