--- a/src/core/dispatcher.rs
+++ b/src/core/dispatcher.rs
@@ -169,7 +169,7 @@
                 Action::WakeUp { delay_s } => self.timers.schedule(Instant::now() + seconds(delay_s)),
                 // The endpoint list is watched all the time, and the nodes' protocol has no health check.
                 Action::PollEndpoints | Action::CheckHealth { .. } => {}
-                Action::Log(text) => log::info!("module: {text}"),
+                Action::Log(text) => log::info!("scheduler: {text}"),
             }
         }
     }
--- a/src/core/serve.rs
+++ b/src/core/serve.rs
@@ -51,11 +51,8 @@
     /// another is not followed.
     fn after_interruption(decision: Decision) -> RequestState {
         match decision {
-            Decision::Send(_) | Decision::Cancel => RequestState::WaitingForDecision,
-            Decision::Reject { retry_after_s } => {
-                RequestState::Finished(Conclusion::Rejected { retry_after_s })
-            }
-            Decision::Fail => RequestState::Finished(Conclusion::Failed),
+            Decision::Send(_) => RequestState::WaitingForDecision,
+            other => RequestState::after_decision(other),
         }
     }
 }
