--- a/src/config/convert.rs
+++ b/src/config/convert.rs
@@ -11,7 +11,8 @@
     SlowStartSettings,
 };
 
-/// Bound of a time in seconds that can be served, about eleven days: later moments are no longer exact.
+/// Upper bound of a time of the wires in seconds, about eleven days: far past any that is meant, and it fits
+/// the clock.
 const MAX_SECONDS: f64 = 1e6;
 
 /// Converts settings and checks them.
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -89,7 +89,7 @@
             Err(problem) if Instant::now() < end => {
                 log::warn!("http: accept: {problem}");
                 drop(slot);
-                parts.descriptors.reclaim();
+                parts.descriptors.close_idle_connection();
                 sleep(ACCEPT_PAUSE).await;
             }
             Err(problem) => {
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -10,7 +10,7 @@
 use crate::handover::Handover;
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::metrics::counters::Counters;
-use crate::resources::descriptors::FOR_OPERATORS;
+use crate::resources::descriptors::MAX_ADMIN_CONNECTIONS;
 use crate::shedding::controller::SheddingController;
 use bytes::Bytes;
 use call::{AdminCall, CallError, NodeAction, OverrideCall};
@@ -91,7 +91,7 @@
             handover,
             shedding,
             waiting: WaitingConnections::default(),
-            slots: Arc::new(Semaphore::new(FOR_OPERATORS)),
+            slots: Arc::new(Semaphore::new(MAX_ADMIN_CONNECTIONS)),
         })
     }
 
--- a/src/frontend/block/listener.rs
+++ b/src/frontend/block/listener.rs
@@ -20,7 +20,7 @@
                 Ok(stream) => stream,
                 Err(problem) => {
                     log::warn!("block: accept: {problem}");
-                    self.budget.reclaim();
+                    self.budget.close_idle_connection();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                     continue;
                 }
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -82,8 +82,9 @@
     /// be lost.
     fn announces_close(&self) -> bool {
         let context = &self.frontend.context;
-        let close_wanted =
-            self.state.is_close_requested() || context.phases.should_reconnect() || context.budget.crowded();
+        let close_wanted = self.state.is_close_requested()
+            || context.phases.should_reconnect()
+            || context.budget.has_too_many_idle_clients();
         close_wanted && self.state.may_announce_close()
     }
 }
@@ -136,7 +137,7 @@
                 Err(error) => {
                     // Never the end of the program: a descriptor is freed, or the client has disconnected.
                     log::warn!("http: accept: {error}");
-                    self.context.budget.reclaim();
+                    self.context.budget.close_idle_connection();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -153,7 +154,7 @@
         let slot = Rc::new(slot);
         let descriptors_short = Rc::new(Notify::new());
         let notify = descriptors_short.clone();
-        slot.silent(move || notify.notify_one());
+        slot.mark_unused(move || notify.notify_one());
         let state = ConnectionState::new(stream.clone(), self.context.counters.clone());
         let connection_guard = self.context.phases.track_connection();
         let service = ConnectionService { frontend: self.clone(), slot, descriptors_short, state };
--- a/src/frontend/http2.rs
+++ b/src/frontend/http2.rs
@@ -57,7 +57,7 @@
                 }
                 Err(error) => {
                     log::warn!("http2: accept: {error}");
-                    self.context.budget.reclaim();
+                    self.context.budget.close_idle_connection();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
--- a/src/frontend/http2/connection.rs
+++ b/src/frontend/http2/connection.rs
@@ -59,7 +59,7 @@
         log::debug!("http2: TCP_NODELAY not set: {error}");
     }
     let notify = descriptors_short.clone();
-    slot.silent(move || notify.notify_one());
+    slot.mark_unused(move || notify.notify_one());
     let connection = frontend.admission.borrow_mut().connect();
     let admitted = AdmittedConnection { frontend: frontend.clone(), connection };
     let opened_at = Instant::now();
@@ -275,7 +275,7 @@
             self.mark_idle();
         }
         let context = &self.frontend.context;
-        if context.phases.should_reconnect() || is_idle && context.budget.crowded() {
+        if context.phases.should_reconnect() || is_idle && context.budget.has_too_many_idle_clients() {
             self.goodbye.leave(self.now(), Cause::Drain)
         } else {
             Act::Wait
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -174,8 +174,8 @@
     fn apply_share(&self, share: f64) {
         log::info!("handover: this process has {share} of the head's share");
         self.shared.dispatcher.notify(&[Event::ProcessShareChanged { fraction: share }]);
-        self.shared.descriptors.set_part(share);
-        self.shared.memory.set_part(share);
+        self.shared.descriptors.set_share(share);
+        self.shared.memory.set_share(share);
     }
 
     fn apply_accepting(&self, accepting: bool) {
--- a/src/handover/socket_path.rs
+++ b/src/handover/socket_path.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use tokio::net::{UnixListener, UnixStream};
 
-/// Longest path that a socket's address is given as it is; the system takes 107 bytes, and the path of a draft
-/// is a little longer. A longer one goes through its folder's descriptor.
+/// Longest path that a socket's address is given as it is; the system takes 107 bytes. A longer one goes through
+/// its folder's descriptor.
 const MAX_PATH_BYTES: usize = 100;
 
 /// A path that fits a socket's address.
--- a/src/resources/descriptors.rs
+++ b/src/resources/descriptors.rs
@@ -1,5 +1,5 @@
-//! The budget of file descriptors: every connection holds a [`ConnectionSlot`], and when they run short the
-//! connection that has been idle longest is closed.
+//! The budget of file descriptors: every connection holds a [`ConnectionSlot`], and when descriptors run short
+//! the connection that has been idle longest is closed.
 
 use crate::metrics::counters::Counters;
 use std::cell::{Cell, RefCell};
@@ -7,19 +7,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
+use tokio::time::timeout;
 
-/// Connections that the operators' door holds at a time, beside the budget.
-pub const FOR_OPERATORS: usize = 16;
-/// Descriptors kept free for the operators' door, the listeners, discovery, the log and what the runtime needs.
-const KEPT: usize = 24 + FOR_OPERATORS;
-/// Part of the rest that connections from clients leave to those to nodes: a client that can't be served
-/// gains nothing by being let in.
-const FOR_NODES: usize = 5;
-
-/// One part in so many of the descriptors may be held by clients' connections that rest between two requests.
+/// Connections that the admin server holds at a time, beside the budget: enough for every operator's tool.
+pub const MAX_ADMIN_CONNECTIONS: usize = 16;
+/// Descriptors outside the budget: the admin server's, and 24 for the listeners, discovery, the log and what the
+/// runtime needs.
+const RESERVED_DESCRIPTORS: usize = 24 + MAX_ADMIN_CONNECTIONS;
+/// Lower bound of the budget, so that a low limit leaves some service.
+const MIN_BUDGET: usize = 8;
+/// One in so many of the budget is left to connections to nodes: a client that can't be served gains nothing by
+/// being admitted.
+const NODE_RESERVE_DIVISOR: usize = 5;
+/// One in so many of the descriptors may be held by clients' connections that are idle between two requests.
 /// Clients together hold twice as many at most; those with a connection of their own for each request would
 /// find none left.
-const RESTING_PART: usize = 6;
+const IDLE_CLIENTS_DIVISOR: usize = 6;
+/// Pause before a slot is asked for again.
+const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a new connection is not closed: its first request may be on its way.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
 
 /// Which side a connection is to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,186 +37,243 @@
     Node,
 }
 
-/// Pause before a slot is asked for again.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Asks a connection to close.
+type CloseRequest = Box<dyn FnOnce()>;
 
-/// How long a new connection is safe: the first request of one that is closed may be on its way.
-const GRACE: Duration = Duration::from_millis(100);
+/// The order in which connections became idle, or were accepted: the lowest is closed first.
+type CloseOrder = u64;
+
+/// A connection between two requests.
+struct IdleConnection {
+    side: Side,
+    close: CloseRequest,
+}
 
-type Close = Box<dyn FnOnce()>;
+/// A connection on which nothing has been received yet.
+struct UnusedConnection {
+    accepted_at: Instant,
+    close: CloseRequest,
+}
 
-/// Counts open connections and knows which are idle.
+/// Counts open connections and knows which of them can be closed.
 pub struct DescriptorBudget {
+    /// Descriptors that all processes of the head may hold.
     limit: Cell<usize>,
-    part: Cell<f64>,
+    /// This process's share of them, 0 to 1.
+    share: Cell<f64>,
+    /// Slots in use.
     open: Cell<usize>,
+    /// Slots of connections that were asked to close and have not yet.
     closing: Cell<usize>,
+    /// Notified when a slot becomes free.
     freed: Notify,
-    turn: Cell<u64>,
-    idle: RefCell<BTreeMap<u64, (Side, Close)>>,
-    resting: Cell<usize>,
-    silent: RefCell<BTreeMap<u64, (Instant, Close)>>,
+    next_order: Cell<CloseOrder>,
+    idle: RefCell<BTreeMap<CloseOrder, IdleConnection>>,
+    idle_clients: Cell<usize>,
+    unused: RefCell<BTreeMap<CloseOrder, UnusedConnection>>,
     counters: Rc<Counters>,
 }
 
 impl DescriptorBudget {
     /// A budget out of `limit` descriptors of the process.
     pub fn new(limit: usize, counters: Rc<Counters>) -> Rc<DescriptorBudget> {
-        let budget = DescriptorBudget {
-            limit: Cell::new(0),
-            part: Cell::new(1.0),
+        Rc::new(DescriptorBudget {
+            limit: Cell::new(limit),
+            share: Cell::new(1.0),
             open: Cell::new(0),
             closing: Cell::new(0),
             freed: Notify::new(),
-            turn: Cell::new(0),
+            next_order: Cell::new(0),
             idle: RefCell::default(),
-            resting: Cell::new(0),
-            silent: RefCell::default(),
+            idle_clients: Cell::new(0),
+            unused: RefCell::default(),
             counters,
-        };
-        budget.set_limit(limit);
-        Rc::new(budget)
+        })
     }
 
-    /// Changes the limit; what is open past a lower one stays until it ends.
+    /// Changes the limit; connections past a lower one stay until they end.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
-    /// Changes the part of the descriptors that is this process's; idle connections past it are closed.
-    pub fn set_part(&self, part: f64) {
-        self.part.set(part);
-        while self.open.get() - self.closing.get() > self.limit() && self.reclaim() {}
-    }
-
-    fn limit(&self) -> usize {
-        ((self.limit.get() as f64 * self.part.get()) as usize).saturating_sub(KEPT).max(8)
+    /// Changes this process's share of the limit, 0 to 1; idle connections past it are closed.
+    pub fn set_share(&self, share: f64) {
+        self.share.set(share);
+        while self.staying_open() > self.budget() && self.close_idle_connection() {}
     }
 
-    /// The part of the descriptors that is in use.
+    /// The part of the budget that is in use; 1 where all of it is.
     pub fn used(&self) -> f64 {
-        self.open.get() as f64 / self.limit() as f64
+        self.open.get() as f64 / self.budget() as f64
     }
 
     /// A slot for a connection about to be opened or just accepted. When all are taken, another connection
-    /// is told to close; `None` if there is none to close, or if a client has to wait until it has.
+    /// is asked to close; `None` if none can be, or if a client has to wait until it has.
     pub fn slot(self: &Rc<Self>, side: Side) -> Option<ConnectionSlot> {
         let limit = match side {
-            Side::Client => self.limit() - self.limit() / FOR_NODES,
-            Side::Node => self.limit(),
+            Side::Client => self.budget() - self.budget() / NODE_RESERVE_DIVISOR,
+            Side::Node => self.budget(),
         };
-        if self.open.get() - self.closing.get() >= limit && !self.reclaim() {
+        if self.staying_open() >= limit && !self.close_idle_connection() {
             return None;
         }
         if side == Side::Client && self.open.get() >= limit {
             return None;
         }
         self.open.set(self.open.get() + 1);
-        Some(ConnectionSlot { budget: self.clone(), side, turn: Cell::new(None), told: Cell::new(false) })
+        Some(ConnectionSlot { budget: self.clone(), side, state: Cell::new(SlotState::InUse) })
     }
 
-    /// Waits for a client's slot. Taken before its connection is accepted, since one that is accepted has to
-    /// be served.
+    /// Waits for a client's slot. It is taken before the connection is accepted, since one that is accepted has
+    /// to be served.
     pub async fn client_slot(self: &Rc<Self>) -> ConnectionSlot {
         loop {
             match self.slot(Side::Client) {
                 Some(slot) => return slot,
-                None => _ = tokio::time::timeout(PAUSE, self.freed.notified()).await,
+                None => _ = timeout(SLOT_RETRY_INTERVAL, self.freed.notified()).await,
             }
         }
     }
 
-    /// Closes a connection that came and said nothing, or else the one idle longest; whether there was one.
-    pub fn reclaim(&self) -> bool {
-        let ripe = |(at, _): &(Instant, Close)| at.elapsed() >= GRACE;
-        let mut silent = self.silent.borrow_mut();
-        let first = match silent.first_entry().filter(|entry| ripe(entry.get())) {
-            Some(entry) => Some((*entry.key(), entry.remove().1)),
-            None => self.idle.borrow_mut().pop_first().map(|(turn, (side, close))| {
-                self.rest(side, false);
-                (turn, close)
-            }),
-        };
-        drop(silent);
-        let found = first.is_some();
-        if let Some((_, close)) = first {
-            self.counters.reclaimed.add();
-            self.closing.set(self.closing.get() + 1);
-            close();
+    /// Asks a connection to close: the oldest on which nothing was received, or else the one idle longest.
+    /// Returns whether there was one.
+    pub fn close_idle_connection(&self) -> bool {
+        let Some(close) = self.take_unused().or_else(|| self.take_idle()) else { return false };
+        self.counters.reclaimed.add();
+        self.closing.set(self.closing.get() + 1);
+        close();
+        true
+    }
+
+    /// Whether so many clients' connections are idle that further ones shall end with their answer.
+    pub fn has_too_many_idle_clients(&self) -> bool {
+        self.idle_clients.get() >= self.share_of_limit() / IDLE_CLIENTS_DIVISOR
+    }
+
+    fn share_of_limit(&self) -> usize {
+        (self.limit.get() as f64 * self.share.get()) as usize
+    }
+
+    /// Slots that this process may have.
+    fn budget(&self) -> usize {
+        self.share_of_limit().saturating_sub(RESERVED_DESCRIPTORS).max(MIN_BUDGET)
+    }
+
+    /// Slots of connections that were not asked to close.
+    fn staying_open(&self) -> usize {
+        self.open.get() - self.closing.get()
+    }
+
+    /// Takes the oldest unused connection, if its first request has had its time to arrive.
+    fn take_unused(&self) -> Option<CloseRequest> {
+        let mut unused = self.unused.borrow_mut();
+        let oldest = unused.first_entry()?;
+        if oldest.get().accepted_at.elapsed() < FIRST_REQUEST_GRACE {
+            return None;
         }
-        found
+        Some(oldest.remove().close)
     }
-}
 
-impl DescriptorBudget {
-    /// Whether so many clients' connections rest between two requests that no more shall.
-    pub fn crowded(&self) -> bool {
-        self.resting.get() >= (self.limit.get() as f64 * self.part.get()) as usize / RESTING_PART
+    /// Takes the connection that has been idle longest.
+    fn take_idle(&self) -> Option<CloseRequest> {
+        let (_, connection) = self.idle.borrow_mut().pop_first()?;
+        self.count_no_longer_idle(connection.side);
+        Some(connection.close)
+    }
+
+    fn count_idle(&self, side: Side) {
+        if side == Side::Client {
+            self.idle_clients.set(self.idle_clients.get() + 1);
+        }
     }
 
-    fn rest(&self, side: Side, rests: bool) {
+    fn count_no_longer_idle(&self, side: Side) {
         if side == Side::Client {
-            let resting = self.resting.get();
-            self.resting.set(if rests { resting + 1 } else { resting - 1 });
+            self.idle_clients.set(self.idle_clients.get() - 1);
         }
     }
+
+    fn next_order(&self) -> CloseOrder {
+        self.next_order.replace(self.next_order.get() + 1)
+    }
 }
 
-/// One connection's place in the budget, given back when dropped.
+/// What a connection with a slot is doing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum SlotState {
+    /// It carries a request.
+    InUse,
+    /// It is between two requests. The budget no longer lists it once it was asked to close.
+    Idle(CloseOrder),
+    /// Nothing has been received on it. The budget no longer lists it once it was asked to close.
+    Unused(CloseOrder),
+    /// It was asked to close.
+    Closing,
+}
+
+/// One connection's slot in the budget, freed when dropped.
 pub struct ConnectionSlot {
     budget: Rc<DescriptorBudget>,
     side: Side,
-    turn: Cell<Option<u64>>,
-    /// Told to close.
-    told: Cell<bool>,
+    state: Cell<SlotState>,
 }
 
 impl ConnectionSlot {
     /// Marks the connection idle from now on; `close` is called at most once, when descriptors run short.
     pub fn idle(&self, close: impl FnOnce() + 'static) {
-        let Some(turn) = self.turn() else { return };
-        self.budget.rest(self.side, true);
-        self.budget.idle.borrow_mut().insert(turn, (self.side, Box::new(close)));
+        let Some(order) = self.next_order() else { return };
+        self.state.set(SlotState::Idle(order));
+        self.budget.count_idle(self.side);
+        let connection = IdleConnection { side: self.side, close: Box::new(close) };
+        self.budget.idle.borrow_mut().insert(order, connection);
     }
 
-    /// The same for a new connection, from which nothing has come yet.
-    pub fn silent(&self, close: impl FnOnce() + 'static) {
-        let Some(turn) = self.turn() else { return };
-        self.budget.silent.borrow_mut().insert(turn, (Instant::now(), Box::new(close)));
+    /// Marks a new connection, on which nothing has been received yet; `close` as in [`Self::idle`].
+    pub fn mark_unused(&self, close: impl FnOnce() + 'static) {
+        let Some(order) = self.next_order() else { return };
+        self.state.set(SlotState::Unused(order));
+        let connection = UnusedConnection { accepted_at: Instant::now(), close: Box::new(close) };
+        self.budget.unused.borrow_mut().insert(order, connection);
     }
 
-    /// A new turn; none for a connection that was told to close and is about to.
-    fn turn(&self) -> Option<u64> {
-        self.busy();
-        if self.told.get() {
-            return None;
+    /// Marks the connection as in use, unless it was asked to close.
+    pub fn busy(&self) {
+        match self.state.get() {
+            SlotState::InUse | SlotState::Closing => {}
+            SlotState::Idle(order) => {
+                let listed = self.budget.idle.borrow_mut().remove(&order);
+                if listed.is_some() {
+                    self.budget.count_no_longer_idle(self.side);
+                }
+                self.state.set(state_after_listing(listed.is_some()));
+            }
+            SlotState::Unused(order) => {
+                let listed = self.budget.unused.borrow_mut().remove(&order);
+                self.state.set(state_after_listing(listed.is_some()));
+            }
         }
-        let turn = self.budget.turn.get();
-        self.budget.turn.set(turn + 1);
-        self.turn.set(Some(turn));
-        Some(turn)
     }
 
-    /// Marks the connection as in use.
-    pub fn busy(&self) {
-        let Some(turn) = self.turn.take() else { return };
-        let close = self.budget.idle.borrow_mut().remove(&turn);
-        let silent = self.budget.silent.borrow_mut().remove(&turn);
-        if close.is_some() {
-            self.budget.rest(self.side, false);
-        }
-        if close.is_none() && silent.is_none() {
-            self.told.set(true);
-        }
-        drop((close, silent));
+    /// The next place in the order of closing; none for a connection that was asked to close and is about to.
+    fn next_order(&self) -> Option<CloseOrder> {
+        self.busy();
+        (self.state.get() == SlotState::InUse).then(|| self.budget.next_order())
     }
 }
 
+/// The state of a connection that is idle or unused no longer: one that the budget does not list any more was
+/// asked to close.
+fn state_after_listing(was_listed: bool) -> SlotState {
+    if was_listed { SlotState::InUse } else { SlotState::Closing }
+}
+
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.busy();
         self.budget.open.set(self.budget.open.get() - 1);
-        self.budget.closing.set(self.budget.closing.get() - usize::from(self.told.get()));
+        if self.state.get() == SlotState::Closing {
+            self.budget.closing.set(self.budget.closing.get() - 1);
+        }
         self.budget.freed.notify_one();
     }
 }
--- a/src/resources/memory.rs
+++ b/src/resources/memory.rs
@@ -1,4 +1,4 @@
-//! The bound on what bodies hold of the memory, over all requests and answers in hand.
+//! The bound on what bodies hold of the memory, over all pending requests and answers.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -10,15 +10,17 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
-/// Memory that is not for bodies: the program, the module, connections and their buffers.
-const OWN: usize = 8 << 20;
-/// Longest body that is taken, held or passed on.
+/// Memory that is not for bodies: the program, the scheduler, connections and their buffers.
+const RESERVED_BYTES: usize = 8 << 20;
+/// Lower bound of the limit, so that little memory leaves some service.
+const MIN_LIMIT_BYTES: usize = RESERVED_BYTES / 4;
+/// Longest body that is received, held or forwarded: far past any that clients of a head have.
 pub const LONGEST: u64 = 33 << 20;
 
-/// Why a body was not taken.
+/// Why a body was not received.
 #[derive(Debug, Error)]
 pub enum BodyError<E> {
-    /// It is longer than any that is taken.
+    /// It is longer than [`LONGEST`].
     #[error("a body past any sensible length")]
     TooLong,
     /// It broke off, or its framing is wrong.
@@ -26,93 +28,109 @@
     Broken(E),
 }
 
-/// The first part of a body.
+/// The first bytes of a body.
 pub struct Gathered {
-    /// What has come.
+    /// What was received.
     pub bytes: Bytes,
-    /// Whether that is all.
+    /// Whether that is all of the body.
     pub whole: bool,
 }
 
 /// What bodies hold, and may hold together.
 pub struct BodyMemory {
-    held: Arc<AtomicUsize>,
+    /// Bytes that bodies hold, shared with each of their buffers.
+    in_use: Arc<AtomicUsize>,
+    /// Bytes that all processes of the head may hold.
     limit: Cell<usize>,
-    part: Cell<f64>,
+    /// This process's share of them, 0 to 1.
+    share: Cell<f64>,
 }
 
-/// A body's part, given back when the last who has the body drops it.
-struct Held {
+/// A body's buffer, which returns its bytes to the limit when the last owner drops it.
+struct BodyBuffer {
     bytes: BytesMut,
-    held: Arc<AtomicUsize>,
-    part: usize,
+    in_use: Arc<AtomicUsize>,
 }
 
-impl Held {
-    /// Takes a piece in; whether there is room for more.
-    fn grow(&mut self, data: &[u8], limit: usize) -> bool {
-        let held = self.held.fetch_add(data.len(), Ordering::Relaxed) + data.len();
-        self.part += data.len();
+impl BodyBuffer {
+    /// Adds received bytes; returns whether there is memory for more.
+    fn append(&mut self, data: &[u8], limit: usize) -> bool {
+        let in_use = self.in_use.fetch_add(data.len(), Ordering::Relaxed) + data.len();
         self.bytes.extend_from_slice(data);
-        held < limit
+        in_use < limit
+    }
+
+    /// The buffer as shared bytes.
+    fn into_bytes(self) -> Bytes {
+        if self.bytes.is_empty() { Bytes::new() } else { Bytes::from_owner(self) }
     }
 }
 
-impl AsRef<[u8]> for Held {
+impl AsRef<[u8]> for BodyBuffer {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl Drop for Held {
+impl Drop for BodyBuffer {
     fn drop(&mut self) {
-        self.held.fetch_sub(self.part, Ordering::Relaxed);
+        self.in_use.fetch_sub(self.bytes.len(), Ordering::Relaxed);
     }
 }
 
 impl BodyMemory {
-    /// The part for bodies of a machine with so many MB.
+    /// The memory for bodies on a machine with so many MB.
     pub fn new(memory_mb: usize) -> Rc<BodyMemory> {
-        let memory = BodyMemory { held: Arc::default(), limit: Cell::new(0), part: Cell::new(1.0) };
+        let memory = BodyMemory { in_use: Arc::default(), limit: Cell::new(0), share: Cell::new(1.0) };
         memory.set_limit(memory_mb);
         Rc::new(memory)
     }
 
     /// Changes the limit; what is held past a lower one stays until it is dropped.
     pub fn set_limit(&self, memory_mb: usize) {
-        // Half: a body grows by doubling, and the connection that it goes out on buffers some of it.
-        self.limit.set((memory_mb.saturating_mul(1 << 20).saturating_sub(OWN) / 2).max(OWN / 4));
+        let machine_bytes = memory_mb.saturating_mul(1 << 20);
+        // Half: a buffer grows by doubling, and the connection that the body goes out on buffers some of it.
+        let limit = machine_bytes.saturating_sub(RESERVED_BYTES) / 2;
+        self.limit.set(limit.max(MIN_LIMIT_BYTES));
     }
 
-    /// Changes the part of it that is this process's.
-    pub fn set_part(&self, part: f64) {
-        self.part.set(part);
+    /// Changes this process's share of the limit, 0 to 1.
+    pub fn set_share(&self, share: f64) {
+        self.share.set(share);
     }
 
-    /// The part of it that is in use.
+    /// The part of this process's limit that is in use; 1 where all of it is.
     pub fn used(&self) -> f64 {
-        self.held.load(Ordering::Relaxed) as f64 / (self.limit.get() as f64 * self.part.get()).max(1.0)
+        let limit = self.limit.get() as f64 * self.share.get();
+        self.in_use.load(Ordering::Relaxed) as f64 / limit.max(1.0)
     }
 
-    /// Gathers a body: all of it, or as much as there is memory for, or a bit more than `most`, or what has
-    /// come by a moment if it is so much at least. What is not gathered stays in the body.
+    /// Receives a body: all of it, or as much as there is memory for, or slightly more than `max_bytes`, or
+    /// what was received by the moment in `may_stop_at`, once it is so many bytes at least. The rest stays in
+    /// the body.
+    ///
+    /// # Errors
+    ///
+    /// [`BodyError::TooLong`] if the body announces more than [`LONGEST`], [`BodyError::Broken`] if it
+    /// ends early.
     pub async fn gather<B: Body<Data = Bytes> + Unpin>(
         &self,
         body: &mut B,
-        most: usize,
-        by: Option<(Instant, usize)>,
+        max_bytes: usize,
+        may_stop_at: Option<(Instant, usize)>,
     ) -> Result<Gathered, BodyError<B::Error>> {
-        let limit = (self.limit.get() as f64 * self.part.get()) as usize;
+        let limit = (self.limit.get() as f64 * self.share.get()) as usize;
         if body.size_hint().lower() > LONGEST {
             return Err(BodyError::TooLong);
         }
-        let mut taken = Held { bytes: BytesMut::new(), held: self.held.clone(), part: 0 };
+        let mut buffer = BodyBuffer { bytes: BytesMut::new(), in_use: self.in_use.clone() };
         let whole = loop {
-            if taken.bytes.len() > most || body.is_end_stream() {
+            if buffer.bytes.len() > max_bytes || body.is_end_stream() {
                 break body.is_end_stream();
             }
-            let frame = match by.filter(|(_, least)| taken.bytes.len() >= *least) {
-                Some((by, _)) => match timeout_at(by, body.frame()).await {
+            let stop_at = may_stop_at.filter(|(_, min_bytes)| buffer.bytes.len() >= *min_bytes);
+            let frame = match stop_at {
+                Some((deadline, _)) => match timeout_at(deadline, body.frame()).await {
                     Ok(frame) => frame,
                     Err(_) => break false,
                 },
@@ -120,12 +138,11 @@
             };
             let Some(frame) = frame else { break true };
             let data = frame.map_err(BodyError::Broken)?.into_data().unwrap_or_default();
-            if !taken.grow(&data, limit) {
+            if !buffer.append(&data, limit) {
                 break body.is_end_stream();
             }
         };
-        let bytes = if taken.bytes.is_empty() { Bytes::new() } else { Bytes::from_owner(taken) };
-        Ok(Gathered { bytes, whole })
+        Ok(Gathered { bytes: buffer.into_bytes(), whole })
     }
 }
 
--- a/tests/races_clients.rs
+++ b/tests/races_clients.rs
@@ -47,7 +47,7 @@
                     client.send("", &request[..cut]);
                     match reason {
                         Reason::Shutdown => stand.phases.close_idle_connections(),
-                        Reason::Scarce => assert!(stand.budget.reclaim(), "it rests"),
+                        Reason::Scarce => assert!(stand.budget.close_idle_connection(), "it rests"),
                     }
                     stand.woken().await;
                     client.send("", &request[cut..]);
