--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -75,7 +75,7 @@
     /// Marks the connection idle between two requests: it may be closed if descriptors run short.
     fn mark_idle(&self) {
         let descriptors_short = self.descriptors_short.clone();
-        self.slot.idle(move || descriptors_short.notify_one());
+        self.slot.mark_idle(move || descriptors_short.notify_one());
     }
 
     /// Whether an answer is to say that it is the connection's last. Not if another request has arrived already: it would
@@ -103,7 +103,7 @@
         let body_grace = self.state.body_grace();
         let framing_ambiguous = self.state.service_began();
         Box::pin(async move {
-            service.slot.busy();
+            service.slot.mark_in_use();
             let client: Rc<dyn Client> = service.state.clone();
             let answer =
                 service.frontend.context.answer(request, body_grace, framing_ambiguous, Some(client));
--- a/src/frontend/http2/connection.rs
+++ b/src/frontend/http2/connection.rs
@@ -199,7 +199,7 @@
 
 impl<T: Transport + 'static> OpenConnection<'_, T> {
     async fn run(mut self) {
-        self.slot.busy();
+        self.slot.mark_in_use();
         self.mark_idle();
         loop {
             let act = match self.next_event().await {
@@ -255,7 +255,7 @@
     /// Between streams the connection may be closed if descriptors run short.
     fn mark_idle(&self) {
         let notify = self.descriptors_short.clone();
-        self.slot.idle(move || notify.notify_one());
+        self.slot.mark_idle(move || notify.notify_one());
     }
 
     /// Sends a GOAWAY and ends the connection.
@@ -285,7 +285,7 @@
     fn stream_accepted(&mut self, request: Request<RecvStream>, respond: SendResponse<Bytes>) {
         let was_idle = self.goodbye.streams() == 0;
         if was_idle {
-            self.slot.busy();
+            self.slot.mark_in_use();
         }
         if stream::admit(self.frontend, self.admission, request, respond, &self.ended_sender) {
             self.goodbye.opened();
--- a/src/frontend/request.rs
+++ b/src/frontend/request.rs
@@ -15,7 +15,7 @@
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::metrics::counters::{Counters, FinalOutcome, InFlightRequest};
 use crate::resources::descriptors::DescriptorBudget;
-use crate::resources::memory::{BodyError, BodyMemory, Gathered};
+use crate::resources::memory::{BodyError, BodyMemory, GatheredBody};
 use bytes::Bytes;
 use fields::RequestFields;
 use hyper::body::Body;
@@ -190,7 +190,7 @@
             BodyError::TooLong => BadRequest::TooLong,
             BodyError::Broken(error) => error,
         })?;
-        if is_read && !(buffered.whole && buffered.bytes.is_empty()) {
+        if is_read && !(buffered.is_complete && buffered.bytes.is_empty()) {
             return Err(BadRequest::Length);
         }
         Ok(ReadBody { buffered, rest: body, length })
@@ -199,7 +199,7 @@
 
 /// A request's body of which the beginning, or all, is buffered.
 struct ReadBody<B> {
-    buffered: Gathered,
+    buffered: GatheredBody,
     rest: PacedBody<B>,
     length: Option<u64>,
 }
@@ -207,7 +207,7 @@
 impl<B: Body<Data = Bytes> + Unpin + 'static> ReadBody<B> {
     /// The payload for a node. `response_timeout` is how long the client waits after the body's last byte.
     fn into_payload(self, response_timeout: Duration) -> Payload {
-        if self.buffered.whole {
+        if self.buffered.is_complete {
             return Payload::Buffered(self.buffered.bytes);
         }
         let stream = PrefixedStream::boxed(self.buffered.bytes, Box::pin(self.rest));
--- a/src/frontend/request/paced_body.rs
+++ b/src/frontend/request/paced_body.rs
@@ -2,7 +2,7 @@
 
 use super::error::BadRequest;
 use crate::core::content::IncompleteBody;
-use crate::resources::memory::LONGEST;
+use crate::resources::memory::MAX_BODY_BYTES;
 use bytes::Bytes;
 use futures_core::Stream;
 use hyper::body::{Body, Frame, SizeHint};
@@ -80,7 +80,7 @@
         this.frame_received(data.map_or(0, Bytes::len));
         Poll::Ready(match frame {
             None => None,
-            Some(Ok(_)) if this.received_bytes > LONGEST => Some(Err(BadRequest::TooLong)),
+            Some(Ok(_)) if this.received_bytes > MAX_BODY_BYTES => Some(Err(BadRequest::TooLong)),
             Some(Ok(frame)) => Some(Ok(frame)),
             Some(Err(_)) => Some(Err(BadRequest::Length)),
         })
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -17,7 +17,7 @@
 /// Longest response head, in bytes.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Most bytes of a complete response, interim responses before it included.
-pub(super) const MAX_RESPONSE_BYTES: usize = memory::LONGEST as usize + (1 << 20);
+pub(super) const MAX_RESPONSE_BYTES: usize = memory::MAX_BODY_BYTES as usize + (1 << 20);
 
 /// Longest response that is buffered completely before any of it is forwarded, in bytes, so that a break in it is an
 /// outcome that a retry can make up for.
--- a/src/node/pool.rs
+++ b/src/node/pool.rs
@@ -48,7 +48,7 @@
     pub(super) async fn take(&self, node: NodeId) -> Option<NodeConnection> {
         loop {
             let mut connection = self.remove_newest(node)?;
-            connection.slot.busy();
+            connection.slot.mark_in_use();
             if connection.idle_since.elapsed() < self.idle_timeout && connection.is_usable().await {
                 return Some(connection);
             }
@@ -71,7 +71,7 @@
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         let pool = Rc::downgrade(self);
-        connection.slot.idle(move || {
+        connection.slot.mark_idle(move || {
             if let Some(pool) = pool.upgrade() {
                 pool.close(node, id);
             }
--- a/src/node/response.rs
+++ b/src/node/response.rs
@@ -7,7 +7,7 @@
 use super::pool::ConnectionPool;
 use crate::core::AttemptResult;
 use crate::core::content::{IncompleteBody, StreamedBody};
-use crate::resources::memory::{BodyError, BodyMemory, Gathered};
+use crate::resources::memory::{BodyError, BodyMemory, GatheredBody, PartialBody};
 use crate::scheduler::{AttemptOutcome, LoadReport, NodeId};
 use bytes::Bytes;
 use futures_core::Stream;
@@ -41,7 +41,7 @@
     head: hyper::http::response::Parts,
     /// What is left of the body.
     rest: Incoming,
-    buffered: Gathered,
+    buffered: GatheredBody,
 }
 
 impl NodeResponse {
@@ -55,15 +55,15 @@
             return Err(ResponseError::AmbiguousLength);
         }
         // A body of unknown length ends with its connection's close; a reset is an error.
-        let (max_bytes, may_stop_at) = match body.size_hint().exact() {
+        let (max_bytes, partial) = match body.size_hint().exact() {
             Some(length) if length > MAX_BUFFERED_BYTES as u64 => (STREAM_START_BYTES, None),
             Some(_) => (MAX_BUFFERED_BYTES, None),
             None => {
-                let stop_at = Instant::now() + UNKNOWN_LENGTH_BUFFER_TIME;
-                (MAX_BUFFERED_BYTES, Some((stop_at, STREAM_START_BYTES)))
+                let deadline = Instant::now() + UNKNOWN_LENGTH_BUFFER_TIME;
+                (MAX_BUFFERED_BYTES, Some(PartialBody { deadline, min_bytes: STREAM_START_BYTES }))
             }
         };
-        let buffered = memory.gather(&mut body, max_bytes, may_stop_at).await?;
+        let buffered = memory.gather(&mut body, max_bytes, partial).await?;
         Ok(NodeResponse { head, rest: body, buffered })
     }
 
@@ -79,7 +79,7 @@
         let usage = usage(&self.head.headers);
         let load_report = load_report(&self.head.headers);
         let mut body = StreamedBody::from(self.buffered.bytes);
-        if self.buffered.whole {
+        if self.buffered.is_complete {
             pool.put(node, connection);
         } else if outcome == AttemptOutcome::Ok {
             let buffered_length = body.buffered.len() as u64;
--- a/src/resources/descriptors.rs
+++ b/src/resources/descriptors.rs
@@ -103,7 +103,7 @@
     }
 
     /// The part of the budget that is in use; 1 where all of it is.
-    pub fn used(&self) -> f64 {
+    pub fn used_fraction(&self) -> f64 {
         self.open.get() as f64 / self.budget() as f64
     }
 
@@ -220,7 +220,7 @@
 
 impl ConnectionSlot {
     /// Marks the connection idle from now on; `close` is called at most once, when descriptors run short.
-    pub fn idle(&self, close: impl FnOnce() + 'static) {
+    pub fn mark_idle(&self, close: impl FnOnce() + 'static) {
         let Some(order) = self.next_order() else { return };
         self.state.set(SlotState::Idle(order));
         self.budget.count_idle(self.side);
@@ -228,7 +228,7 @@
         self.budget.idle.borrow_mut().insert(order, connection);
     }
 
-    /// Marks a new connection, on which nothing has been received yet; `close` as in [`Self::idle`].
+    /// Marks a new connection, on which nothing has been received yet; `close` as in [`Self::mark_idle`].
     pub fn mark_unused(&self, close: impl FnOnce() + 'static) {
         let Some(order) = self.next_order() else { return };
         self.state.set(SlotState::Unused(order));
@@ -237,7 +237,7 @@
     }
 
     /// Marks the connection as in use, unless it was asked to close.
-    pub fn busy(&self) {
+    pub fn mark_in_use(&self) {
         match self.state.get() {
             SlotState::InUse | SlotState::Closing => {}
             SlotState::Idle(order) => {
@@ -256,7 +256,7 @@
 
     /// The next place in the order of closing; none for a connection that was asked to close and is about to.
     fn next_order(&self) -> Option<CloseOrder> {
-        self.busy();
+        self.mark_in_use();
         (self.state.get() == SlotState::InUse).then(|| self.budget.next_order())
     }
 }
@@ -269,7 +269,7 @@
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.busy();
+        self.mark_in_use();
         self.budget.open.set(self.budget.open.get() - 1);
         if self.state.get() == SlotState::Closing {
             self.budget.closing.set(self.budget.closing.get() - 1);
--- a/src/resources/memory.rs
+++ b/src/resources/memory.rs
@@ -15,12 +15,12 @@
 /// Lower bound of the limit, so that little memory leaves some service.
 const MIN_LIMIT_BYTES: usize = RESERVED_BYTES / 4;
 /// Longest body that is received, held or forwarded: far past any that clients of a head have.
-pub const LONGEST: u64 = 33 << 20;
+pub const MAX_BODY_BYTES: u64 = 33 << 20;
 
 /// Why a body was not received.
 #[derive(Debug, Error)]
 pub enum BodyError<E> {
-    /// It is longer than [`LONGEST`].
+    /// It is longer than [`MAX_BODY_BYTES`].
     #[error("a body past any sensible length")]
     TooLong,
     /// It broke off, or its framing is wrong.
@@ -29,11 +29,20 @@
 }
 
 /// The first bytes of a body.
-pub struct Gathered {
+pub struct GatheredBody {
     /// What was received.
     pub bytes: Bytes,
     /// Whether that is all of the body.
-    pub whole: bool,
+    pub is_complete: bool,
+}
+
+/// Lets [`BodyMemory::gather`] return before the body has ended.
+#[derive(Clone, Copy, Debug)]
+pub struct PartialBody {
+    /// When it returns.
+    pub deadline: Instant,
+    /// How many bytes it waits for in any case.
+    pub min_bytes: usize,
 }
 
 /// What bodies hold, and may hold together.
@@ -100,37 +109,36 @@
     }
 
     /// The part of this process's limit that is in use; 1 where all of it is.
-    pub fn used(&self) -> f64 {
+    pub fn used_fraction(&self) -> f64 {
         let limit = self.limit.get() as f64 * self.share.get();
         self.in_use.load(Ordering::Relaxed) as f64 / limit.max(1.0)
     }
 
     /// Receives a body: all of it, or as much as there is memory for, or slightly more than `max_bytes`, or
-    /// what was received by the moment in `may_stop_at`, once it is so many bytes at least. The rest stays in
-    /// the body.
+    /// what `partial` asks for. The rest stays in the body.
     ///
     /// # Errors
     ///
-    /// [`BodyError::TooLong`] if the body announces more than [`LONGEST`], [`BodyError::Broken`] if it
+    /// [`BodyError::TooLong`] if the body announces more than [`MAX_BODY_BYTES`], [`BodyError::Broken`] if it
     /// ends early.
     pub async fn gather<B: Body<Data = Bytes> + Unpin>(
         &self,
         body: &mut B,
         max_bytes: usize,
-        may_stop_at: Option<(Instant, usize)>,
-    ) -> Result<Gathered, BodyError<B::Error>> {
+        partial: Option<PartialBody>,
+    ) -> Result<GatheredBody, BodyError<B::Error>> {
         let limit = (self.limit.get() as f64 * self.share.get()) as usize;
-        if body.size_hint().lower() > LONGEST {
+        if body.size_hint().lower() > MAX_BODY_BYTES {
             return Err(BodyError::TooLong);
         }
         let mut buffer = BodyBuffer { bytes: BytesMut::new(), in_use: self.in_use.clone() };
-        let whole = loop {
+        let is_complete = loop {
             if buffer.bytes.len() > max_bytes || body.is_end_stream() {
                 break body.is_end_stream();
             }
-            let stop_at = may_stop_at.filter(|(_, min_bytes)| buffer.bytes.len() >= *min_bytes);
-            let frame = match stop_at {
-                Some((deadline, _)) => match timeout_at(deadline, body.frame()).await {
+            let may_return_at = partial.filter(|partial| buffer.bytes.len() >= partial.min_bytes);
+            let frame = match may_return_at {
+                Some(partial) => match timeout_at(partial.deadline, body.frame()).await {
                     Ok(frame) => frame,
                     Err(_) => break false,
                 },
@@ -142,7 +150,7 @@
                 break body.is_end_stream();
             }
         };
-        Ok(Gathered { bytes: buffer.into_bytes(), whole })
+        Ok(GatheredBody { bytes: buffer.into_bytes(), is_complete })
     }
 }
 
--- a/src/resources/memory/tests.rs
+++ b/src/resources/memory/tests.rs
@@ -33,12 +33,12 @@
         for _ in 0..4 {
             held.push(gather(3 << 20).await.expect("room"));
         }
-        assert!(held.iter().take(3).all(|gathered| gathered.whole));
+        assert!(held.iter().take(3).all(|gathered| gathered.is_complete));
         let two = async || memory.gather(&mut Chunks(vec!["b", "a"]), 1 << 20, None).await.expect("some");
         let short = two().await;
-        assert_eq!((&short.bytes[..], short.whole), (&b"a"[..], false), "the rest stays where it is");
+        assert_eq!((&short.bytes[..], short.is_complete), (&b"a"[..], false), "the rest stays where it is");
         held.clear();
         let all = two().await;
-        assert_eq!((&all.bytes[..], all.whole), (&b"ab"[..], true), "room again");
+        assert_eq!((&all.bytes[..], all.is_complete), (&b"ab"[..], true), "room again");
     });
 }
--- a/src/shedding/controller.rs
+++ b/src/shedding/controller.rs
@@ -119,7 +119,7 @@
 
     fn evaluate(&self) {
         let ControllerParts { dispatcher, descriptors, memory, .. } = &self.parts;
-        let transitions = dispatcher.evaluate_shedding(memory.used(), descriptors.used());
+        let transitions = dispatcher.evaluate_shedding(memory.used_fraction(), descriptors.used_fraction());
         self.handle_transitions(&transitions);
     }
 
