--- a/tests/races_head.rs
+++ b/tests/races_head.rs
@@ -1,5 +1,5 @@
-//! The rare moments of the head as a process: signals at any moment, descriptors used up, a list that never speaks, and
-//! hand-overs whose other side ends at each step.
+//! Races of the head as a process: signals at any moment, a shortage of descriptors, a source of the endpoint list that
+//! does not respond, and handovers whose other process ends at each step.
 
 mod peers;
 use peers::*;
@@ -19,24 +19,24 @@
     Client::request("episode-save", "network", 1, 2.0, length)
 }
 
-fn one(brick: &Brick) -> (Discovery, Head) {
-    let discovery = Discovery::start(&[entry("s-1", brick.address, 0, "ready")]);
+fn start_head(node: &Brick) -> (Discovery, Head) {
+    let discovery = Discovery::start(&[entry("s-1", node.address, 0, "ready")]);
     let head = Head::start(&discovery, None, &[]);
     (discovery, head)
 }
 
-fn quick() -> Brick {
+fn fast_node() -> Brick {
     Brick::start(|_, m| if m.line.contains("hush") { Step::Silent } else { Step::Serve(b"served".to_vec()) })
 }
 
-fn hushed(left: f64) -> String {
+fn stalled_read(left: f64) -> String {
     read(left).replacen(" HTTP", "?hush HTTP", 1)
 }
 
 /// Where a request stands when SIGTERM comes: each gets its answer, and the head ends cleanly in time.
 #[test]
 fn at_sigterm_a_request_at_any_stage_is_answered() {
-    let brick = Brick::start(|_, m| match m.line {
+    let node = Brick::start(|_, m| match m.line {
         _ if m.line.contains("hush") => Step::Silent,
         _ if m.line.contains("slow") => {
             Step::After(Duration::from_millis(600), Box::new(Step::Serve(b"served".to_vec())))
@@ -52,7 +52,7 @@
         .map_while(|_| std::net::TcpStream::connect_timeout(&nowhere, Duration::from_millis(300)).ok())
         .collect();
     let discovery =
-        Discovery::start(&[entry("s-1", brick.address, 0, "ready"), entry("s-2", nowhere, 1, "ready")]);
+        Discovery::start(&[entry("s-1", node.address, 0, "ready"), entry("s-2", nowhere, 1, "ready")]);
     let mut head = Head::start(&discovery, None, &[]);
     let text = write(8);
     let (first, second) = text.split_at(text.len() / 2);
@@ -62,7 +62,7 @@
         ("waiting for a node", read(1.0).replace("shard=0", "shard=7"), b"", 503),
         ("being connected", read(1.0).replace("shard=0", "shard=1"), b"", 503),
         ("sent", read(2.0).replacen(" HTTP", "?slow HTTP", 1), b"", 200),
-        ("sent to a node that hangs", hushed(2.0), b"", 503),
+        ("sent to a node that hangs", stalled_read(2.0), b"", 503),
     ];
     let mut open = Vec::new();
     for (what, text, body, status) in clients {
@@ -70,9 +70,9 @@
         client.send(&text, body);
         open.push((what, client, status));
     }
-    brick.wait_for(2);
+    node.wait_for(2);
     wait(|| (head.counter("taken") == 4).then_some(()));
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     head.signal("-TERM");
     wait(|| head.logged("daemon: Draining"));
     open[0].1.send(second, b"12345678");
@@ -82,15 +82,15 @@
         assert_eq!(answer.status(), status, "{what}");
     }
     assert!(head.ended());
-    assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
+    assert!(signalled_at.elapsed() < Duration::from_millis(3700), "{:?}", signalled_at.elapsed());
 }
 
 /// All of the clients' descriptors are used up by requests that last to the end, and further connections wait, accepted
 /// by the system alone: they get an answer, too.
 #[test]
 fn at_the_end_the_backlog_is_answered_though_descriptors_are_used_up() {
-    let brick = quick();
-    let discovery = Discovery::start(&[entry("s-1", brick.address, 0, "ready")]);
+    let node = fast_node();
+    let discovery = Discovery::start(&[entry("s-1", node.address, 0, "ready")]);
     // As few descriptors as leave clients sixteen, and requests that are waited for to the end.
     let text =
         config(&discovery, 60, "null").replace(r#""aim":0.4,"deadline":2.0"#, r#""aim":2.4,"deadline":2.5"#);
@@ -120,8 +120,8 @@
 /// it crossed the end of its connection, was not sent on.
 #[test]
 fn clients_that_come_again_at_once_lose_nothing_at_the_end() {
-    let brick = quick();
-    let (_discovery, mut head) = one(&brick);
+    let node = fast_node();
+    let (_discovery, mut head) = start_head(&node);
     let (done, ends) = mpsc::channel();
     let address = head.http;
     for _ in 0..8 {
@@ -139,11 +139,11 @@
         });
     }
     drop(done);
-    brick.wait_for(100);
+    node.wait_for(100);
     head.signal("-TERM");
     let served: u64 = ends.iter().sum();
     assert!(head.ended());
-    assert_eq!(brick.seen().len() as u64, served, "what was sent on was answered");
+    assert_eq!(node.seen().len() as u64, served, "what was sent on was answered");
 }
 
 /// SIGTERM while the list is still awaited, twice, and in a reload; SIGHUP in the drain and one after another.
@@ -153,15 +153,15 @@
     let silent = Agent::start(|_, _| vec![Say::Hold]);
     let mut head = Head::start_unready(&config_at(silent.address, 1024, "null"));
     assert_eq!(get(head.http, "/-/ready").status(), 503, "it says the truth");
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     head.signal("-TERM");
     wait(|| head.logged("daemon: Draining"));
     assert_eq!(Client::new(head.http).ask(&read(0.5), b"").status(), 503, "refused, not reset");
     assert!(head.ended());
-    assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
+    assert!(signalled_at.elapsed() < Duration::from_millis(3700), "{:?}", signalled_at.elapsed());
     // One reload after another, good and bad; then twice SIGTERM, and reloads in the drain.
-    let brick = quick();
-    let (discovery, mut head) = one(&brick);
+    let node = fast_node();
+    let (discovery, mut head) = start_head(&node);
     for round in 0..10 {
         head.reload(&if round % 2 == 0 { config(&discovery, 1024, "null") } else { "{".into() });
     }
@@ -187,7 +187,7 @@
 #[test]
 fn a_silent_list_keeps_no_head_from_service_and_news_are_sought_anew() {
     for (mode, hosts) in [("push", 1), ("push", 300), ("ask", 1), ("ask", 8)] {
-        let (old, new) = (quick(), Brick::start(|_, _| Step::Serve(b"new".to_vec())));
+        let (old, new) = (fast_node(), Brick::start(|_, _| Step::Serve(b"new".to_vec())));
         let speaks = Arc::new(AtomicBool::new(false));
         let (shown, list_now) = (speaks.clone(), list(2, true, &[entry("s-2", new.address, 0, "ready")]));
         let agent = Agent::start(move |_, line| match shown.load(Ordering::SeqCst) {
@@ -222,7 +222,7 @@
 #[test]
 fn a_watch_that_is_silent_after_a_reload_or_reset_before_a_drain_costs_no_drain() {
     for reset in [false, true] {
-        let (old, new) = (quick(), Brick::start(|_, _| Step::Serve(b"new".to_vec())));
+        let (old, new) = (fast_node(), Brick::start(|_, _| Step::Serve(b"new".to_vec())));
         let ready = [entry("s-1", old.address, 0, "ready"), entry("s-2", new.address, 0, "ready")];
         let (drains, hushed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let (shown, hush) = (drains.clone(), hushed.clone());
@@ -258,8 +258,8 @@
 /// and the head is as it was when they are gone.
 #[test]
 fn silent_connections_and_a_flood_keep_nobody_from_service() {
-    let brick = quick();
-    let discovery = Discovery::start(&[entry("s-1", brick.address, 0, "ready")]);
+    let node = fast_node();
+    let discovery = Discovery::start(&[entry("s-1", node.address, 0, "ready")]);
     let text = config(&discovery, 128, "null").replace(r#""memory_mb":192"#, r#""memory_mb":48"#);
     let head = Head::start_text(&text, None, &[]);
     let address = head.http;
@@ -295,12 +295,13 @@
     folder
 }
 
-/// A newer process ends at each step of a hand-over: found, sockets taken, ready said, in the middle of that word. The
+/// A newer process ends at each step of a handover: connected, sockets received, ready sent, in the middle of that
+/// message. The
 /// older one serves on, and a client that waited to be accepted by either is served.
 #[test]
 fn a_newer_process_that_ends_at_any_step_leaves_the_older_one_in_service() {
-    let (brick, folder) = (quick(), folder("newer"));
-    let discovery = Discovery::start(&[entry("s-1", brick.address, 0, "ready")]);
+    let (node, folder) = (fast_node(), folder("newer"));
+    let discovery = Discovery::start(&[entry("s-1", node.address, 0, "ready")]);
     let head = Head::start(&discovery, None, &[("TMPDIR", folder.to_str().expect("a path"))]);
     let path = folder.join("flaxgap-n0.sock");
     wait(|| path.exists().then_some(()));
@@ -344,12 +345,13 @@
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
-/// An older process ends at each step of a hand-over: before a word, with a word and no sockets, with another word. The
+/// An older process ends at each step of a handover: before its greeting, with a greeting and no sockets, with an
+/// unknown message. The
 /// newer one starts by itself, in time.
 #[test]
 fn an_older_process_that_ends_at_any_step_leaves_the_newer_one_to_start_alone() {
-    let brick = quick();
-    let discovery = Discovery::start(&[entry("s-1", brick.address, 0, "ready")]);
+    let node = fast_node();
+    let discovery = Discovery::start(&[entry("s-1", node.address, 0, "ready")]);
     for (number, word) in [&b""[..], b"here\n", b"he", b"what\n"].into_iter().enumerate() {
         let folder = folder(&format!("older-{number}"));
         let listener = UnixListener::bind(folder.join("flaxgap-n0.sock")).expect("a socket");
--- a/tests/scenarios_ops.rs
+++ b/tests/scenarios_ops.rs
@@ -1,4 +1,4 @@
-//! Counters out, and the plug-in hook, against stand-ins.
+//! Exports of counters, the plug-in and the files under deploy/, against test servers.
 
 mod peers;
 use flaxgap::metrics::counters::Counters;
@@ -8,21 +8,21 @@
 use std::net::TcpListener;
 use std::os::unix::net::UnixListener;
 
-fn ops(name: &str, text: &str) -> std::path::PathBuf {
+fn write_file(name: &str, text: &str) -> std::path::PathBuf {
     let path = std::env::temp_dir().join(format!("flaxgap-ops-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("written");
     path
 }
 
-fn start(brick: &Brick, name: &str, text: &str) -> (Discovery, Head) {
-    let discovery = Discovery::start(&[entry("s-1", brick.address, 0, "ready")]);
-    let path = ops(name, text);
+fn start_head(node: &Brick, name: &str, text: &str) -> (Discovery, Head) {
+    let discovery = Discovery::start(&[entry("s-1", node.address, 0, "ready")]);
+    let path = write_file(name, text);
     let head = Head::start(&discovery, None, &[("FLAXGAP_OPS", path.to_str().expect("a path"))]);
     std::fs::remove_file(path).expect("removed");
     (discovery, head)
 }
 
-fn ask(head: &Head) -> u16 {
+fn read_status(head: &Head) -> u16 {
     Client::new(head.http).ask(&Client::request("play-fetch", "network", 1, 2.0, 0), b"").status()
 }
 
@@ -39,12 +39,12 @@
 
 #[test]
 fn graphite_gets_the_counters_again_after_its_connection_broke() {
-    let brick = Brick::start(|_, _| Step::Serve(vec![]));
+    let node = Brick::start(|_, _| Step::Serve(vec![]));
     let graphite = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = graphite.local_addr().expect("an address");
     let text = format!("[graphite]\naddress = \"{address}\"\nprefix = \"p.n0\"\ninterval = 0.1\n");
-    let (_discovery, head) = start(&brick, "graphite", &text);
-    assert_eq!(ask(&head), 200);
+    let (_discovery, head) = start_head(&node, "graphite", &text);
+    assert_eq!(read_status(&head), 200);
     for _ in 0..2 {
         let (stream, _) = graphite.accept().expect("the head comes");
         let mut lines = BufReader::new(stream).lines().map_while(Result::ok);
@@ -54,11 +54,11 @@
 
 #[test]
 fn collectd_gets_a_putval_for_each_counter_and_is_heard() {
-    let brick = Brick::start(|_, _| Step::Serve(vec![]));
+    let node = Brick::start(|_, _| Step::Serve(vec![]));
     let socket = std::env::temp_dir().join(format!("flaxgap-collectd-{}", std::process::id()));
     let collectd = UnixListener::bind(&socket).expect("a socket");
     let text = format!("[collectd]\nsocket = {socket:?}\nhost = \"n0\"\ninterval = 0.1\n");
-    let (_discovery, head) = start(&brick, "collectd", &text);
+    let (_discovery, head) = start_head(&node, "collectd", &text);
     let (stream, _) = collectd.accept().expect("the head comes");
     let mut out = stream.try_clone().expect("a handle");
     let mut lines = BufReader::new(stream).lines().map_while(Result::ok);
@@ -73,25 +73,26 @@
 
 #[test]
 fn a_script_sees_requests_and_answers_and_can_neither_decide_nor_run_on() {
-    let brick = Brick::start(|_, _| Step::Serve(vec![]));
-    let script = ops(
+    let node = Brick::start(|_, _| Step::Serve(vec![]));
+    let script = write_file(
         "script",
         "fn on_request(r) { if r.class == 0 { print(`seen ${r.volume} ${r.units}`) } loop { } }
          fn on_answer(r) { this.count = (this.count ?? 0) + 1; print(`answer ${this.count} ${r.answer}`); \"refuse\" }",
     );
     let text = format!("[plugin]\nscript = {script:?}\nmax_steps = 500\nmax_size = 64\n");
-    let (_discovery, head) = start(&brick, "plugin", &text);
+    let (_discovery, head) = start_head(&node, "plugin", &text);
     for _ in 0..2 {
-        assert_eq!(ask(&head), 200);
+        assert_eq!(read_status(&head), 200);
     }
     wait(|| head.logged("seen 00000000000000b2 1.0"));
     wait(|| head.logged("answer 2 served"));
     assert_eq!(head.counter("plugin_failures"), 2, "the loop was cut short each time");
-    let greedy = ops("greedy", "fn on_request(r) { this.all = \"\"; loop { this.all += \"0123456789\"; } }");
+    let greedy =
+        write_file("greedy", "fn on_request(r) { this.all = \"\"; loop { this.all += \"0123456789\"; } }");
     let text = format!("[plugin]\nscript = {greedy:?}\nmax_steps = 100000\nmax_size = 64\n");
-    let (_discovery, head) = start(&brick, "plugin-greedy", &text);
+    let (_discovery, head) = start_head(&node, "plugin-greedy", &text);
     for _ in 0..12 {
-        assert_eq!(ask(&head), 200);
+        assert_eq!(read_status(&head), 200);
     }
     assert_eq!(head.counter("plugin_failures"), 10, "and then it is switched off");
     assert!(head.logged("switched off").is_some());
@@ -106,9 +107,9 @@
     use flaxgap::config::operators_file::OperatorsFile;
     use flaxgap::frontend::block::config::Target;
     use flaxgap::{config, plugin};
-    let (settings, notes) = config::read(SETTINGS.as_bytes()).expect("settings");
+    let (settings, wire_settings) = config::read(SETTINGS.as_bytes()).expect("settings");
     let block = include_str!("../deploy/block.toml");
-    assert_eq!(Target::parse(block, &settings, &notes).expect("served").luns.len(), 2);
+    assert_eq!(Target::parse(block, &settings, &wire_settings).expect("served").luns.len(), 2);
     let ops = OperatorsFile::load("deploy/ops.toml").expect("served");
     assert!(ops.graphite.is_none() && ops.collectd.is_none() && ops.plugin.is_none(), "all off");
     let bounds = plugin::PluginConfig { script: "deploy/plugin.rhai".into(), max_steps: 2000, max_size: 256 };
@@ -125,10 +126,11 @@
         ("\"00000003b4d60022\"", "\"volume\""),
         ("hosts = 1", "host = 1"),
     ];
-    let told = bad.map(|(from, to)| {
+    let problems = bad.map(|(from, to)| {
         assert!(block.contains(from), "{from}");
-        let problem = Target::parse(&block.replace(from, to), &settings, &notes).expect_err("turned down");
+        let problem =
+            Target::parse(&block.replace(from, to), &settings, &wire_settings).expect_err("turned down");
         problem.to_string().lines().last().unwrap_or_default().to_string()
     });
-    insta::assert_debug_snapshot!(told);
+    insta::assert_debug_snapshot!(problems);
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -5,8 +5,8 @@
 use peers::*;
 use std::process::{Command, Stdio};
 
-/// The configuration of the stories with one value of the settings replaced; none takes it out.
-fn with(path: &str, value: Option<&str>) -> String {
+/// The configuration of the scenarios with one value of the settings replaced; `None` removes it.
+fn config_with(path: &str, value: Option<&str>) -> String {
     let discovery = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let mut config: serde_json::Value =
         serde_json::from_str(&config_at(discovery, 1024, "null")).expect("a value");
@@ -14,7 +14,7 @@
     let (parent, name) = pointer.rsplit_once('/').expect("a path");
     let parent = config.pointer_mut(parent).expect("a parent");
     match (value.map(|text| serde_json::from_str(text).expect("a value")), name.parse::<usize>()) {
-        (Some(value), Ok(place)) => parent[place] = value,
+        (Some(value), Ok(index)) => parent[index] = value,
         (Some(value), Err(_)) => parent[name] = value,
         (None, _) => _ = parent.as_object_mut().expect("an object").remove(name),
     }
@@ -53,16 +53,16 @@
     for (path, value) in bad {
         let folder = std::env::temp_dir().join(format!("flaxgap-bad-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        std::fs::write(folder.join("config.json"), with(path, value)).expect("written");
+        std::fs::write(folder.join("config.json"), config_with(path, value)).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_flaxgap"));
         command.env("LB_CONFIG", folder.join("config.json")).env("TMPDIR", &folder).stderr(Stdio::piped());
-        let ended = command.spawn().expect("it starts").wait_with_output().expect("it ends");
-        let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-        assert!(!ended.status.success(), "{path}: {said}");
+        let output = command.spawn().expect("it starts").wait_with_output().expect("it ends");
+        let log = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success(), "{path}: {log}");
         // A field that is missing is named in the words of the parser.
         let (named, _) = path.rsplit_once('.').unwrap_or((path, ""));
         let named = if value.is_none() { named } else { path };
-        assert!(said.contains(named), "{path}: {said}");
+        assert!(log.contains(named), "{path}: {log}");
         std::fs::remove_dir_all(folder).expect("removed");
     }
 }
@@ -99,9 +99,9 @@
         ("settings.something_new", Some("{\"of\":[1,2]}")),
     ];
     for (path, value) in odd {
-        let brick = Brick::start(|_, _| Step::Serve(b"served".to_vec()));
-        let discovery = Discovery::start(&[entry("s-1", brick.address, 0, "ready")]);
-        let text = with(path, value).replace("127.0.0.1:9\"", &format!("{}\"", discovery.address));
+        let node = Brick::start(|_, _| Step::Serve(b"served".to_vec()));
+        let discovery = Discovery::start(&[entry("s-1", node.address, 0, "ready")]);
+        let text = config_with(path, value).replace("127.0.0.1:9\"", &format!("{}\"", discovery.address));
         let mut head = Head::start_text(&text, None, &[]);
         let mut client = Client::new(head.http);
         let read = Client::request("play-fetch", "network", 1, 2.0, 0);
