--- a/src/scheduler/interface.rs
+++ b/src/scheduler/interface.rs
@@ -51,13 +51,22 @@
     TrialOnly,
 }
 
+/// What is admitted of the work that only one zone can serve.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ZoneAdmission {
+    /// The zone.
+    pub zone: ZoneId,
+    /// What is admitted, by class and plan.
+    pub admission: Vec<Vec<Admission>>,
+}
+
 /// A load-shedding level as it is in force. Classes and plans that its tables do not list are admitted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SheddingLevel {
     /// What is admitted, by class and plan.
     pub admission: Vec<Vec<Admission>>,
     /// What is admitted of the work that only one zone can serve, where that is less.
-    pub zone_admission: Vec<(ZoneId, Vec<Vec<Admission>>)>,
+    pub zone_admission: Vec<ZoneAdmission>,
     /// When the level could end at the earliest.
     pub ends_at: f64,
 }
@@ -66,9 +75,9 @@
     /// What is admitted of a class on a plan at a node of a zone: the strictest that applies.
     pub fn admission(&self, class: ClassId, plan: PlanId, zone: Option<ZoneId>) -> Admission {
         let mut strictest = table_entry(&self.admission, class, plan);
-        for (shedding_zone, table) in &self.zone_admission {
-            if Some(*shedding_zone) == zone {
-                strictest = strictest.max(table_entry(table, class, plan));
+        for of_zone in &self.zone_admission {
+            if Some(of_zone.zone) == zone {
+                strictest = strictest.max(table_entry(&of_zone.admission, class, plan));
             }
         }
         strictest
@@ -77,13 +86,15 @@
     /// Whether a zone's nodes get trial requests only.
     pub fn excludes_zone(&self, zone: Option<ZoneId>) -> bool {
         let trials_only = |table: &[Vec<Admission>]| all_entries(table, Admission::TrialOnly);
-        self.zone_admission.iter().any(|(excluded, table)| Some(*excluded) == zone && trials_only(table))
+        let mut zones = self.zone_admission.iter();
+        zones.any(|of_zone| Some(of_zone.zone) == zone && trials_only(&of_zone.admission))
     }
 
     /// Whether it sheds anything.
     pub fn is_shedding(&self) -> bool {
         let admits_all = |table: &[Vec<Admission>]| all_entries(table, Admission::All);
-        !admits_all(&self.admission) || !self.zone_admission.iter().all(|(_, table)| admits_all(table))
+        let mut zones = self.zone_admission.iter();
+        !admits_all(&self.admission) || !zones.all(|of_zone| admits_all(&of_zone.admission))
     }
 }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -39,7 +39,8 @@
 
 pub use interface::{
     Action, Admission, AttemptOutcome, ClassId, Endpoint, Event, ExtentId, IoRequest, LoadReport, NodeId,
-    NodeState, PlanId, RequestId, ReservedWorkStats, ShardId, SheddingLevel, UpdateKind, VolumeId, ZoneId,
+    NodeState, PlanId, RequestId, ReservedWorkStats, ShardId, SheddingLevel, UpdateKind, VolumeId,
+    ZoneAdmission, ZoneId,
 };
 pub use settings::{
     Class, DeduplicationScope, Idempotency, Plan, RateLimit, RetryBudget, SchedulerSettings,
--- a/src/shedding/monitor.rs
+++ b/src/shedding/monitor.rs
@@ -3,7 +3,7 @@
 
 use crate::scheduler::{
     Action, Admission, AttemptOutcome, ClassId, Endpoint, Event, NodeId, NodeState, RequestId,
-    ReservedWorkStats, SchedulerSettings, SheddingLevel, UpdateKind, ZoneId,
+    ReservedWorkStats, SchedulerSettings, SheddingLevel, UpdateKind, ZoneAdmission, ZoneId,
 };
 use crate::shedding::pending_requests::PendingRequests;
 use crate::shedding::reserved_work::{ReservedWork, sliding_sums};
@@ -285,7 +285,7 @@
 fn shedding_level(admission: EffectiveAdmission) -> SheddingLevel {
     let mut zone_admission = Vec::new();
     for (zone, table) in admission.zones {
-        zone_admission.push((ZoneId(zone), scheduler_table(table)));
+        zone_admission.push(ZoneAdmission { zone: ZoneId(zone), admission: scheduler_table(table) });
     }
     SheddingLevel {
         admission: scheduler_table(admission.head),
--- a/tests/equivalence/random_inputs.rs
+++ b/tests/equivalence/random_inputs.rs
@@ -2,7 +2,7 @@
 
 use flaxgap::scheduler::{
     Admission, AttemptOutcome, Class, DeduplicationScope, Idempotency, Plan, RateLimit, RetryBudget,
-    SchedulerSettings, SheddingLevel, SlowStartSettings, ZoneId,
+    SchedulerSettings, SheddingLevel, SlowStartSettings, ZoneAdmission, ZoneId,
 };
 use rand::{Rng, SeedableRng};
 
@@ -143,6 +143,7 @@
         classes.map(|_| config.plans.iter().map(|_| plan(rng)).collect()).collect()
     };
     let zones = (0..3).filter(|_| rng.random_bool(0.3)).collect::<Vec<u16>>();
-    let zones = zones.into_iter().map(|zone| (ZoneId(zone), table(rng))).collect();
+    let zones =
+        zones.into_iter().map(|zone| ZoneAdmission { zone: ZoneId(zone), admission: table(rng) }).collect();
     SheddingLevel { admission: table(rng), zone_admission: zones, ends_at: now + rng.random_range(0.0..10.0) }
 }
--- a/tests/levels_module.rs
+++ b/tests/levels_module.rs
@@ -4,7 +4,7 @@
 use common::*;
 use flaxgap::scheduler::{
     Action, Admission, AttemptOutcome, Event, IoRequest, NodeId, RequestId, ShardId, SheddingLevel, VolumeId,
-    ZoneId,
+    ZoneAdmission, ZoneId,
 };
 
 fn level(pass: Admission, until: f64) -> Event {
@@ -101,7 +101,8 @@
     let mut cut = node(11, 1);
     cut.zone = ZoneId(1);
     let mut harness = Harness::with_nodes(settings(), vec![node(NODE.0, 0), cut]);
-    let zones = vec![(ZoneId(1), vec![vec![Admission::TrialOnly; 2]; 3])];
+    let trials_only = vec![vec![Admission::TrialOnly; 2]; 3];
+    let zones = vec![ZoneAdmission { zone: ZoneId(1), admission: trials_only }];
     harness.handle(vec![Event::SheddingLevelChanged(SheddingLevel {
         admission: vec![],
         zone_admission: zones,
