--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -1,14 +1,13 @@
-//! Discovery: the whole node list, then a watch on its changes, for as long as the program runs.
+//! The endpoint directory: which nodes this head may use, as the sources of the list and the operators have it.
 
-use super::client::{Connect, CountedTcp, SourceRequest, WatchEvent, Watcher};
 use crate::core::{Clock, Dispatcher};
-use crate::discovery::relist::PendingRelist;
+use crate::discovery::client::CountedTcp;
+use crate::discovery::reflector;
 use crate::discovery::schedule::PollSchedule;
 use crate::exclusions::Exclusions;
 use crate::metrics::counters::Counters;
 use crate::node::{NodeAddress, NodeTransport};
 use crate::scheduler::{Endpoint, Event, NodeId, NodeState, ShardId, UpdateKind, ZoneId};
-use flaxgap_distribution::update_filter::UpdateFilter;
 use flaxgap_membership::compact::CompactList;
 use flaxgap_membership::list::NodeState as ListedState;
 use flaxgap_membership::{ListedNode, Membership, NodeChange, SourceCursor};
@@ -18,407 +17,297 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
-use tokio::time::{Instant, sleep};
+use tokio::time::Instant;
 
-/// Of the parts of one list that can't be read, so many are logged.
-const LOGGED: usize = 8;
+/// Most unreadable entries of one list that are logged one by one: a list may have thousands.
+const MAX_LOGGED_ENTRIES: usize = 8;
 
-/// Told the newest version each time that module and transport have been told of a list.
+/// Called with the newest version each time that a list is in force.
 type Observer = Box<dyn Fn(u64)>;
 
-/// Keeps the module's list and the transport's places in step with discovery and with the operators' bans.
+/// Owns the membership, and keeps the scheduler's endpoints and the transport's addresses in step with it and with the
+/// operators' exclusions.
 pub struct EndpointDirectory {
     dispatcher: Rc<Dispatcher>,
-    nodes: Rc<NodeTransport>,
+    transport: Rc<NodeTransport>,
     counters: Rc<Counters>,
-    bans: Rc<Exclusions>,
-    /// The nodes as the lists have them, without what operators say of them.
+    exclusions: Rc<Exclusions>,
+    /// The nodes as the lists have them, without the exclusions.
     membership: RefCell<Membership>,
-    /// Turns true with the first list that discovery itself gives.
-    heard: watch::Sender<bool>,
+    /// Becomes true with the first list of a source. A cached list doesn't count.
+    has_synced: watch::Sender<bool>,
     schedule: PollSchedule,
-    /// When a list last changed something, and when its source was last heard.
-    changed: Cell<Instant>,
+    /// When a list was last applied that could change something.
+    last_change: Cell<Instant>,
+    /// When a source was last heard.
     last_message: Cell<Instant>,
-    /// How many relays speak; none where the head follows no relays.
+    /// How many relays are reachable; none if the head follows no relays.
     relays_reachable: Cell<Option<usize>>,
     observer: RefCell<Option<Observer>>,
 }
 
 impl EndpointDirectory {
-    /// Knows nothing yet; `zones` are the settings' names, in their order.
+    /// Creates a directory without nodes. `zones` are the zones' names in the order of the settings.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
-        nodes: Rc<NodeTransport>,
+        transport: Rc<NodeTransport>,
         counters: Rc<Counters>,
-        bans: Rc<Exclusions>,
+        exclusions: Rc<Exclusions>,
         zones: Vec<String>,
         schedule: PollSchedule,
     ) -> Rc<EndpointDirectory> {
-        let heard = watch::Sender::new(false);
-        let membership = RefCell::new(Membership::with_zones(&zones));
-        let (changed, last_message) = (Cell::new(Instant::now()), Cell::new(Instant::now()));
         Rc::new(EndpointDirectory {
             dispatcher,
-            nodes,
+            transport,
             counters,
-            bans,
-            membership,
-            heard,
+            exclusions,
+            membership: RefCell::new(Membership::with_zones(&zones)),
+            has_synced: watch::Sender::new(false),
             schedule,
-            changed,
-            last_message,
+            last_change: Cell::new(Instant::now()),
+            last_message: Cell::new(Instant::now()),
             relays_reachable: Cell::new(None),
             observer: RefCell::default(),
         })
     }
 
-    /// Has an observer told the newest version whenever a list is in force: module and transport know of it.
+    /// Sets the function that is called with the newest version whenever a list is in force, that is, once scheduler and
+    /// transport know of it.
     pub fn observe(&self, observer: impl Fn(u64) + 'static) {
         self.observer.replace(Some(Box::new(observer)));
     }
 
-    fn in_force(&self) {
+    fn notify_observer(&self) {
         if let Some(observer) = &*self.observer.borrow() {
-            observer(self.membership.borrow().version());
+            observer(self.version());
         }
     }
 
-    /// Waits until discovery itself has given a list.
+    /// Waits until a list of a source has been applied; a cached list doesn't count.
     pub async fn synced(&self) {
         // The sender lives in `self`, so the wait can't fail.
-        let _ = self.heard.subscribe().wait_for(|heard| *heard).await;
+        let _ = self.has_synced.subscribe().wait_for(|has_synced| *has_synced).await;
     }
 
-    /// How long a start with the list of an earlier life waits for discovery.
+    /// How long a start with a cached list waits for the source.
     pub fn start_timeout(&self) -> Duration {
         self.schedule.start_timeout()
     }
 
-    /// How many nodes are on the list, and how many of them get no work; for how many seconds the list has stood as it is,
-    /// and for how many its source has said nothing.
+    /// Follows discovery at the configured address for as long as it is polled. `has_list` says whether the head serves
+    /// with a cached list.
+    pub async fn follow(&self, configured_address: watch::Receiver<SocketAddr>, has_list: bool) {
+        reflector::follow_discovery(self, configured_address, has_list).await;
+    }
+
+    /// The newest version known.
+    pub fn version(&self) -> u64 {
+        self.membership.borrow().version()
+    }
+
+    /// Time since a list was last applied that could change something.
+    pub fn list_age(&self) -> Duration {
+        self.last_change.get().elapsed()
+    }
+
+    /// How many relays are reachable; none if the head follows no relays.
+    pub fn relays_reachable(&self) -> Option<usize> {
+        self.relays_reachable.get()
+    }
+
+    /// Sets the number of reachable relays.
+    pub(super) fn set_relays_reachable(&self, relays: usize) {
+        self.relays_reachable.set(Some(relays));
+    }
+
+    /// Records that a source has sent something.
+    pub(super) fn record_message(&self) {
+        self.last_message.set(Instant::now());
+        self.counters.discovery_messages.add();
+    }
+
+    /// Makes connections to sources, and counts their traffic.
+    pub(super) fn connector(&self) -> CountedTcp<Counters> {
+        CountedTcp(self.counters.clone())
+    }
+
+    /// When discovery is called.
+    pub(super) fn schedule(&self) -> &PollSchedule {
+        &self.schedule
+    }
+
+    /// The head's counters.
+    pub(super) fn counters(&self) -> &Counters {
+        &self.counters
+    }
+
+    /// The clock by which lists are applied.
+    pub(super) fn clock(&self) -> Clock {
+        self.dispatcher.clock()
+    }
+
+    /// The exported figures: the numbers of listed nodes and of those that get no requests, the seconds since the list
+    /// last changed and since its source was last heard, and the number of reachable relays.
     pub fn gauges(&self) -> Vec<(&'static str, usize)> {
-        let membership = self.membership.borrow();
-        let banned = self.bans.known_names().into_iter().filter(|name| self.bans.contains(name));
-        let ready =
-            |name: &String| membership.node(name).is_some_and(|node| node.state == ListedState::Ready);
-        let excluded = membership.len() - membership.ready() + banned.filter(ready).count();
-        let seconds = |at: &Cell<Instant>| at.get().elapsed().as_secs() as usize;
         let mut gauges = vec![
-            ("bricks_known", membership.len()),
-            ("bricks_excluded", excluded),
-            ("list_age_seconds", seconds(&self.changed)),
-            ("discovery_silent_seconds", seconds(&self.last_message)),
+            ("bricks_known", self.membership.borrow().len()),
+            ("bricks_excluded", self.count_unusable()),
+            ("list_age_seconds", whole_seconds_since(&self.last_change)),
+            ("discovery_silent_seconds", whole_seconds_since(&self.last_message)),
         ];
-        gauges.extend(self.relays_reachable.get().map(|relays| ("relays_reachable", relays)));
+        if let Some(relays) = self.relays_reachable.get() {
+            gauges.push(("relays_reachable", relays));
+        }
         gauges
     }
 
-    /// Takes a node out by hand, or calls it back; false for one that was never listed.
-    pub fn set_excluded(&self, name: &str, out: bool) -> io::Result<bool> {
-        let known = self.membership.borrow().knows(name) || self.bans.known_names().iter().any(|n| n == name);
-        if known {
-            let now = self.dispatcher.clock().now();
-            if out {
-                self.bans.exclude(name, now)?;
-            } else {
-                self.bans.readmit(name, now)?;
+    /// The number of listed nodes that get no requests: those that are not ready, and those that operators have excluded.
+    fn count_unusable(&self) -> usize {
+        let membership = self.membership.borrow();
+        let mut unusable = membership.len() - membership.ready();
+        for name in self.exclusions.known_names() {
+            let is_ready = membership.node(&name).is_some_and(|node| node.state == ListedState::Ready);
+            if is_ready && self.exclusions.contains(&name) {
+                unusable += 1;
             }
-            log::info!("discovery: {name}: {} by hand", if out { "out" } else { "back" });
-            self.on_exclusions_changed();
         }
-        Ok(known)
-    }
-
-    /// Tells transport and module what the bans make of the list.
-    pub fn on_exclusions_changed(&self) {
-        let nodes: Vec<ListedNode> = self.membership.borrow().nodes().collect();
-        let nodes = nodes.iter().map(|node| self.settle(node)).collect();
-        self.dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints: nodes }]);
+        unusable
     }
 
-    /// A listed node as it is to be used, told to the transport: one that is out is left as one that drains
-    /// is, and one that is back has started anew, whatever the list says yet.
-    fn settle(&self, node: &ListedNode) -> Endpoint {
-        let mut info = node_info(node);
-        if self.bans.contains(&node.name) {
-            info.state = NodeState::Draining;
+    /// Excludes a node on an operator's call, or readmits it. Returns false for a node that was never listed.
+    ///
+    /// # Errors
+    /// Fails if the exclusion can't be saved.
+    pub fn set_excluded(&self, name: &str, excluded: bool) -> io::Result<bool> {
+        if !self.is_known(name) {
+            return Ok(false);
         }
-        info.started_at =
-            self.bans.readmitted_at(&node.name).map_or(info.started_at, |at| info.started_at.max(at));
-        match node.address {
-            Some(address) => {
-                let name = node.name.clone();
-                self.nodes.set_address(info.node, NodeAddress { name, address, state: info.state });
-            }
-            None => self.nodes.remove_node(info.node),
+        let now = self.dispatcher.clock().now();
+        if excluded {
+            self.exclusions.exclude(name, now)?;
+        } else {
+            self.exclusions.readmit(name, now)?;
         }
-        info
+        log::info!("discovery: {name}: {} by hand", if excluded { "out" } else { "back" });
+        self.on_exclusions_changed();
+        Ok(true)
+    }
+
+    fn is_known(&self, name: &str) -> bool {
+        let is_listed = self.membership.borrow().knows(name);
+        is_listed || self.exclusions.known_names().iter().any(|known| known == name)
     }
 
-    /// A node that is gone, or has left this shard's queue; the transport forgets it.
-    fn withdraw(&self, node: &ListedNode) -> Endpoint {
-        let info = Endpoint { state: NodeState::Gone, ..node_info(node) };
-        self.nodes.remove_node(info.node);
-        info
+    /// Updates transport and scheduler after the exclusions have changed.
+    pub fn on_exclusions_changed(&self) {
+        let nodes: Vec<ListedNode> = self.membership.borrow().nodes().collect();
+        let endpoints = nodes.iter().map(|node| self.update_transport(node)).collect();
+        self.dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints }]);
     }
 
-    /// Takes in a list: the transport first, so that nothing is written to a node that just left. Only what changes is
-    /// told to transport and module, one by one, also of a whole list.
+    /// Applies a list. The transport learns of it before the scheduler, so that nothing is written to a node that has
+    /// just left. Both learn only what changes, also if the list is a snapshot.
     pub fn apply(&self, list: impl Into<CompactList>, source: &mut SourceCursor, kind: UpdateKind) {
         let list = list.into();
         let now = self.dispatcher.clock().now();
-        let first = kind == UpdateKind::CachedSnapshot || !*self.heard.borrow();
-        if list.is_empty() && list.unreadable.is_empty() && !list.is_snapshot && !first {
+        let is_first = kind == UpdateKind::CachedSnapshot || !*self.has_synced.borrow();
+        let is_empty = list.is_empty() && list.unreadable.is_empty() && !list.is_snapshot;
+        if is_empty && !is_first {
+            // Only the version is new.
             self.membership.borrow_mut().apply(&list, source, now);
-            return self.in_force();
+            return self.notify_observer();
         }
         self.counters.list_changes.add();
-        self.changed.set(Instant::now());
-        self.report_unread(&list);
+        self.last_change.set(Instant::now());
+        self.report_unreadable(&list);
         let changes = self.membership.borrow_mut().apply(&list, source, now);
-        let nodes: Vec<Endpoint> = changes.into_iter().flat_map(|change| self.change(change)).collect();
-        if first || !nodes.is_empty() {
-            self.dispatcher.notify(&[Event::EndpointUpdate { kind, endpoints: nodes }]);
+        let mut endpoints = Vec::new();
+        for change in &changes {
+            self.apply_change(change, &mut endpoints);
         }
-        self.in_force();
-        self.heard
-            .send_if_modified(|heard| kind != UpdateKind::CachedSnapshot && !std::mem::replace(heard, true));
-    }
-
-    fn report_unread(&self, list: &CompactList) {
-        for unread in list.unreadable.iter().take(LOGGED) {
-            log::warn!("discovery: version {}, {unread}", list.version);
+        if is_first || !endpoints.is_empty() {
+            self.dispatcher.notify(&[Event::EndpointUpdate { kind, endpoints }]);
         }
-        if list.unreadable.len() > LOGGED {
-            log::warn!(
-                "discovery: version {}, {} more can't be read",
-                list.version,
-                list.unreadable.len() - LOGGED
-            );
+        self.notify_observer();
+        if kind != UpdateKind::CachedSnapshot {
+            self.has_synced.send_if_modified(|has_synced| !std::mem::replace(has_synced, true));
         }
-        self.counters.bad_input.add_many(list.unreadable.len() as u64);
     }
 
-    /// What a change makes of the nodes that module and transport know. One that holds another shard than before has
-    /// left the queue that it had.
-    fn change(&self, change: NodeChange) -> impl Iterator<Item = Endpoint> + use<> {
-        let (left, stays) = match &change {
-            NodeChange::Removed(node) => (Some(self.withdraw(node)), None),
-            NodeChange::Updated { node, previous_shard } => {
-                let left = previous_shard.map(|shard| self.withdraw(&ListedNode { shard, ..node.clone() }));
-                (left, Some(self.settle(node)))
-            }
-        };
-        left.into_iter().chain(stays)
-    }
-
-    /// Follows the list for as long as the program runs, wherever it is to be had: from the version known on,
-    /// or, where none is, from the first whole list that is given.
-    pub async fn follow(&self, mut source: watch::Receiver<SocketAddr>, known: bool) {
-        if known {
-            sleep(self.schedule.initial_delay()).await;
+    fn report_unreadable(&self, list: &CompactList) {
+        let count = list.unreadable.len();
+        for entry in list.unreadable.iter().take(MAX_LOGGED_ENTRIES) {
+            log::warn!("discovery: version {}, {entry}", list.version);
         }
-        let mut since = if known { self.version() } else { 0 };
-        let mut whole = if known { PendingRelist::none() } else { PendingRelist::until_listed() };
-        loop {
-            let address = *source.borrow_and_update();
-            tokio::select! {
-                biased;
-                () = self.moved(&mut source) => {}
-                () = self.keep(address, since, whole, |_| false) => {}
-            }
-            (since, whole) = (self.version(), PendingRelist::none());
+        if count > MAX_LOGGED_ENTRIES {
+            let more = count - MAX_LOGGED_ENTRIES;
+            log::warn!("discovery: version {}, {more} more can't be read", list.version);
         }
+        self.counters.bad_input.add_many(count as u64);
     }
 
-    /// Waits until the list has another source and that source's list is in, whole. Until then the nodes known
-    /// serve, and the old source is followed on. A source may be behind the old one:
-    /// what its list says of nodes that leave is taken at once, and the move is made once it has caught up, or has been
-    /// behind for so long that its versions must be counted anew.
-    async fn moved(&self, source: &mut watch::Receiver<SocketAddr>) {
-        if source.changed().await.is_err() {
-            // No other source will ever be named.
-            return std::future::pending().await;
-        }
-        loop {
-            let address = *source.borrow_and_update();
-            let caught_up = |source: &SourceCursor| !source.is_behind();
-            tokio::select! {
-                biased;
-                _ = source.changed() => {}
-                () = self.keep(address, 0, PendingRelist::until_listed(), caught_up) => {
-                    let version = self.membership.borrow().version();
-                    return log::info!("discovery: now at {address}, version {version}");
+    /// Updates the transport after a change, and appends the endpoints that the scheduler has to learn. A node that holds
+    /// another shard than before is removed from the old one first.
+    fn apply_change(&self, change: &NodeChange, endpoints: &mut Vec<Endpoint>) {
+        match change {
+            NodeChange::Removed(node) => endpoints.push(self.remove_from_transport(node)),
+            NodeChange::Updated { node, previous_shard } => {
+                if let Some(shard) = *previous_shard {
+                    let before = ListedNode { shard, ..node.clone() };
+                    endpoints.push(self.remove_from_transport(&before));
                 }
+                endpoints.push(self.update_transport(node));
             }
         }
     }
 
-    /// Keeps in touch with one address until what it told is `enough`, which is asked once its list is in.
-    async fn keep(
-        &self,
-        address: SocketAddr,
-        since: u64,
-        whole: PendingRelist,
-        enough: impl Fn(&SourceCursor) -> bool,
-    ) {
-        let mut watcher = Watcher::new(self.connector(), address, &self.schedule);
-        let mut progress = Progress { whole, ..Progress::since(address, since) };
-        loop {
-            let update = self.next_update(&mut watcher, &mut progress).await;
-            let is_list = matches!(update, WatchEvent::List { .. });
-            self.take_update(update, &mut progress, &mut watcher);
-            if is_list && !progress.whole.is_pending() && enough(progress.intake.source()) {
-                return;
+    /// Updates a listed node's address at the transport, and returns the endpoint as it is to be used.
+    fn update_transport(&self, node: &ListedNode) -> Endpoint {
+        let endpoint = self.with_exclusions(node);
+        match node.address {
+            Some(address) => {
+                let name = node.name.clone();
+                self.transport
+                    .set_address(endpoint.node, NodeAddress { name, address, state: endpoint.state });
             }
+            None => self.transport.remove_node(endpoint.node),
         }
+        endpoint
     }
 
-    /// Waits for what a watcher tells next; calls that fall due meanwhile ask for what is missing.
-    pub(super) async fn next_update<D: Connect>(
-        &self,
-        watcher: &mut Watcher<'_, D>,
-        progress: &mut Progress,
-    ) -> WatchEvent {
-        let anew = progress.intake.needs_relist(self.dispatcher.clock().now());
-        let since = progress.since;
-        let request = || {
-            if anew || progress.whole.take_attempt() {
-                SourceRequest::List
-            } else {
-                SourceRequest::WatchSince(since)
-            }
-        };
-        let update = watcher.next_event(request).await;
-        if matches!(update, WatchEvent::List { .. } | WatchEvent::Heartbeat) {
-            self.last_message.set(Instant::now());
-            self.counters.discovery_messages.add();
-        }
-        update
+    /// Removes a node from the transport, and returns the endpoint as gone.
+    fn remove_from_transport(&self, node: &ListedNode) -> Endpoint {
+        let endpoint = Endpoint { state: NodeState::Gone, ..listed_endpoint(node) };
+        self.transport.remove_node(endpoint.node);
+        endpoint
     }
 
-    /// Takes in what a watcher told.
-    pub(super) fn take_update<D: Connect>(
-        &self,
-        update: WatchEvent,
-        progress: &mut Progress,
-        watcher: &mut Watcher<'_, D>,
-    ) {
-        match update {
-            WatchEvent::List { list, request } => self.take_list(list, request, progress),
-            WatchEvent::Heartbeat => {}
-            WatchEvent::Unreadable(problem) => {
-                log::warn!("discovery: passed over: {problem}");
-                self.counters.bad_input.add();
-                progress.whole.request();
-                watcher.schedule_call_soon();
-            }
-            WatchEvent::WatchLost | WatchEvent::CallEnded { opened: true, error: Some(_) } => {
-                self.counters.watches_lost.add()
-            }
-            WatchEvent::CallEnded { .. } => {}
-            WatchEvent::SourceSilent(span) => {
-                let (version, age) = (self.version(), self.changed.get().elapsed());
-                log::warn!(
-                    "discovery: {} silent for {span:?}; the list is at version {version}, told {age:?} ago",
-                    progress.address
-                );
-            }
-        }
-        if progress.intake.source().is_behind() {
-            watcher.forget_known_list();
-        }
-        if progress.intake.needs_relist(self.dispatcher.clock().now()) {
-            watcher.schedule_call_soon();
-        }
-    }
-
-    fn take_list(&self, list: CompactList, request: SourceRequest, progress: &mut Progress) {
-        if request == SourceRequest::List {
-            progress.whole.complete();
+    /// A listed node as the operators' exclusions allow it to be used: an excluded one counts as draining, and one that
+    /// was readmitted as started then, whatever the list says.
+    fn with_exclusions(&self, node: &ListedNode) -> Endpoint {
+        let mut endpoint = listed_endpoint(node);
+        if self.exclusions.contains(&node.name) {
+            endpoint.state = NodeState::Draining;
         }
-        let told = progress.intake.source();
-        if !list.is_empty() || list.version != told.version() {
-            let kind = match (request, list.is_snapshot) {
-                (SourceRequest::List, _) => "asked for",
-                (_, true) => "whole",
-                (_, false) => "changes",
-            };
-            log::info!("discovery: version {}, {} entries, {kind}", list.version, list.len());
+        if let Some(readmitted_at) = self.exclusions.readmitted_at(&node.name) {
+            endpoint.started_at = endpoint.started_at.max(readmitted_at);
         }
-        self.apply(list, told, UpdateKind::Changes);
-        progress.since = told.version();
-        let was_behind = std::mem::replace(&mut progress.behind, told.is_behind());
-        if progress.behind && !was_behind {
-            let (version, known) = (told.version(), self.version());
-            log::warn!("discovery: {} is at version {version}, behind {known}", progress.address);
-        }
-    }
-
-    /// The newest version known.
-    pub fn version(&self) -> u64 {
-        self.membership.borrow().version()
-    }
-
-    /// How many relays speak; none where the head follows no relays.
-    pub fn relays_reachable(&self) -> Option<usize> {
-        self.relays_reachable.get()
-    }
-
-    /// Notes how many relays speak.
-    pub(super) fn set_relays_reachable(&self, relays: usize) {
-        self.relays_reachable.set(Some(relays));
-    }
-
-    /// Connects to a source of the list, and counts what passes.
-    pub(super) fn connector(&self) -> CountedTcp<Counters> {
-        CountedTcp(self.counters.clone())
-    }
-
-    /// The clock that lists are taken in by.
-    pub(super) fn clock(&self) -> Clock {
-        self.dispatcher.clock()
-    }
-
-    /// For how long the list has stood as it is.
-    pub fn list_age(&self) -> Duration {
-        self.changed.get().elapsed()
+        endpoint
     }
 }
 
-/// How far one source has come with what it tells.
-pub(super) struct Progress {
-    address: SocketAddr,
-    /// The version after which it is asked for changes.
-    since: u64,
-    intake: UpdateFilter,
-    whole: PendingRelist,
-    behind: bool,
+fn whole_seconds_since(at: &Cell<Instant>) -> usize {
+    at.get().elapsed().as_secs() as usize
 }
 
-impl Progress {
-    /// Of a source that is to be asked for what comes after a version.
-    pub(super) fn since(address: SocketAddr, version: u64) -> Progress {
-        let (intake, whole) = (UpdateFilter::new(version), PendingRelist::none());
-        Progress { address, since: version, intake, whole, behind: false }
+/// A listed node as scheduler and transport know it, without the operators' exclusions.
+fn listed_endpoint(node: &ListedNode) -> Endpoint {
+    let is_ready = node.state == ListedState::Ready;
+    Endpoint {
+        node: NodeId(u64::from(node.id)),
+        shard: ShardId(node.shard),
+        started_at: node.started_at,
+        zone: ZoneId(node.zone),
+        state: if is_ready { NodeState::Ready } else { NodeState::Draining },
     }
-
-    /// The same source is asked once more, for what comes after a version.
-    pub(super) fn ask_again(&mut self, version: u64) {
-        self.since = version;
-        self.intake.restart(version);
-    }
-
-    /// How its lists fit among those of another source that is followed beside it.
-    pub(super) fn intake(&mut self) -> &mut UpdateFilter {
-        &mut self.intake
-    }
-}
-
-/// A listed node as module and transport know it, before the operators' bans.
-fn node_info(node: &ListedNode) -> Endpoint {
-    let state = if node.state == ListedState::Ready { NodeState::Ready } else { NodeState::Draining };
-    let (id, shard, zone) = (NodeId(u64::from(node.id)), ShardId(node.shard), ZoneId(node.zone));
-    Endpoint { node: id, shard, started_at: node.started_at, zone, state }
 }
--- a/src/discovery/relays/watch.rs
+++ b/src/discovery/relays/watch.rs
@@ -1,7 +1,8 @@
 //! One watch on one relay: its updates go to the directory, its events to the follower.
 
 use crate::discovery::client::{CallError, CountedTcp, WatchEvent, Watcher};
-use crate::discovery::directory::{EndpointDirectory, Progress};
+use crate::discovery::directory::EndpointDirectory;
+use crate::discovery::reflector::EndpointReflector;
 use crate::discovery::schedule::PollSchedule;
 use crate::metrics::counters::Counters;
 use flaxgap_distribution::selection::{LostReason, WatchId};
@@ -38,22 +39,22 @@
 impl RelayWatch {
     /// Applies the relay's updates until the watch is lost.
     pub(super) async fn run(self) {
-        let mut progress = Progress::since(self.address, self.directory.version());
-        let mut watcher = self.new_watcher();
+        let watch_since = self.directory.version();
+        let mut reflector =
+            EndpointReflector::new(&self.directory, self.new_watcher(), self.address, watch_since);
         let mut is_open = false;
         loop {
-            let event = self.directory.next_update(&mut watcher, &mut progress).await;
+            let event = reflector.next_event().await;
             if !is_open && is_message(&event) {
                 is_open = true;
                 self.report(RelayWatchEvent::Opened).await;
             }
             let lost_reason = lost_reason(&event);
-            match self.evaluate(&event, &mut progress) {
-                Verdict::Apply => self.directory.take_update(event, &mut progress, &mut watcher),
+            match self.evaluate(&event, &mut reflector) {
+                Verdict::Apply => reflector.apply(event),
                 Verdict::Duplicate => {}
                 Verdict::Rewatch => {
-                    progress.ask_again(self.directory.version());
-                    watcher = self.new_watcher();
+                    reflector.restart_watch(self.new_watcher(), self.directory.version());
                 }
             }
             if let Some(reason) = lost_reason {
@@ -67,10 +68,10 @@
     }
 
     /// Filters lists against those of the other watch; every other update is applied.
-    fn evaluate(&self, event: &WatchEvent, progress: &mut Progress) -> Verdict {
+    fn evaluate(&self, event: &WatchEvent, reflector: &mut EndpointReflector<'_>) -> Verdict {
         match event {
             WatchEvent::List { list, .. } => {
-                progress.intake().evaluate(list.version, list.is_snapshot, self.directory.version())
+                reflector.filter().evaluate(list.version, list.is_snapshot, self.directory.version())
             }
             _ => Verdict::Apply,
         }
