--- a/src/discovery/client/response_reader.rs
+++ b/src/discovery/client/response_reader.rs
@@ -55,7 +55,7 @@
             timeouts,
             decoder,
             skippable,
-            message_timeout: timeouts.first,
+            message_timeout: timeouts.first_message,
             list_began: None,
             has_snapshot: false,
             has_reported: false,
@@ -95,7 +95,7 @@
                 continue;
             }
             self.list_began = None;
-            self.message_timeout = self.timeouts.silence;
+            self.message_timeout = self.timeouts.idle;
             // Blank lines are heartbeats.
             if !has_delivered && !data.is_empty() && self.request != SourceRequest::List {
                 self.has_reported = true;
--- a/src/discovery/client/watcher.rs
+++ b/src/discovery/client/watcher.rs
@@ -131,7 +131,7 @@
     /// Cancel-safe: no event is lost if the future is dropped.
     pub async fn next_event(&mut self, mut next_request: impl FnMut() -> SourceRequest) -> WatchEvent {
         loop {
-            let silent_at = self.liveness.silent_at(self.poller.silence_timeout());
+            let silent_at = self.liveness.silent_at(self.poller.idle_timeout());
             tokio::select! {
                 biased;
                 // The channel never closes: the watcher has a sender of its own.
