--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -188,7 +188,8 @@
         } else {
             self.exclusions.readmit(name, now)?;
         }
-        log::info!("discovery: {name}: {} by hand", if excluded { "out" } else { "back" });
+        let action = if excluded { "excluded" } else { "readmitted" };
+        log::info!("discovery: node {action} by an operator, node={name}");
         self.on_exclusions_changed();
         Ok(true)
     }
@@ -237,11 +238,11 @@
     fn report_unreadable(&self, list: &CompactList) {
         let count = list.unreadable.len();
         for entry in list.unreadable.iter().take(MAX_LOGGED_ENTRIES) {
-            log::warn!("discovery: version {}, {entry}", list.version);
+            log::warn!("discovery: entry can't be read, version={}, error={entry}", list.version);
         }
         if count > MAX_LOGGED_ENTRIES {
             let more = count - MAX_LOGGED_ENTRIES;
-            log::warn!("discovery: version {}, {more} more can't be read", list.version);
+            log::warn!("discovery: more entries can't be read, version={}, count={more}", list.version);
         }
         self.counters.bad_input.add_many(count as u64);
     }
--- a/src/discovery/reflector.rs
+++ b/src/discovery/reflector.rs
@@ -140,7 +140,7 @@
     }
 
     fn on_unreadable(&mut self, error: &CallError) {
-        log::warn!("discovery: passed over: {error}");
+        log::warn!("discovery: unreadable update skipped, error={error}");
         self.directory.counters().bad_input.add();
         self.relist.request();
         self.watcher.schedule_call_soon();
@@ -171,11 +171,11 @@
 
 fn log_list(list: &CompactList, request: SourceRequest) {
     let kind = match (request, list.is_snapshot) {
-        (SourceRequest::List, _) => "asked for",
-        (SourceRequest::WatchSince(_), true) => "whole",
-        (SourceRequest::WatchSince(_), false) => "changes",
+        (SourceRequest::List, _) => "relist",
+        (SourceRequest::WatchSince(_), true) => "snapshot",
+        (SourceRequest::WatchSince(_), false) => "update",
     };
-    log::info!("discovery: version {}, {} entries, {kind}", list.version, list.len());
+    log::info!("discovery: version {}, {} entries, kind={kind}", list.version, list.len());
 }
 
 /// Follows discovery at the configured address, and moves to another address when the configuration changes, for as long
