--- a/crates/membership/tests/compact.rs
+++ b/crates/membership/tests/compact.rs
@@ -1,4 +1,5 @@
-//! Entries read by their types say the same as entries read field by field, and large lists cost by what they change.
+//! The typed parser gives the same entries as the parser that goes field by field, and applying a large list gives only
+//! the changes.
 
 use flaxgap_membership::compact::CompactList;
 use flaxgap_membership::list::{EndpointList, Entry, NodeState};
@@ -16,21 +17,21 @@
     Entry { name, address, zone, shard: Some(n as u32), state, started_at: 0.0 }
 }
 
-fn list(rev: u64, all: bool, entries: Vec<Entry>) -> CompactList {
-    EndpointList { version: rev, is_snapshot: all, entries, unreadable: vec![] }.into()
+fn list(version: u64, is_snapshot: bool, entries: Vec<Entry>) -> CompactList {
+    EndpointList { version, is_snapshot, entries, unreadable: vec![] }.into()
 }
 
-/// A membership that holds all nodes as ready by version 1, and its source.
-fn full() -> (Membership, SourceCursor) {
+/// A membership that has all nodes as ready by version 1, and its source.
+fn synced_membership() -> (Membership, SourceCursor) {
     let (mut membership, mut source) = (Membership::default(), SourceCursor::default());
-    let whole = (0..NODES).map(|n| entry(n, NodeState::Ready)).collect();
-    assert_eq!(membership.apply(&list(1, true, whole), &mut source, 1.0).len(), NODES);
+    let entries = (0..NODES).map(|n| entry(n, NodeState::Ready)).collect();
+    assert_eq!(membership.apply(&list(1, true, entries), &mut source, 1.0).len(), NODES);
     (membership, source)
 }
 
-/// Each part of an entry, sound and not, in all combinations that chance gives, at every place of the entry.
+/// Valid and invalid values of each field of an entry, in random combinations and orders.
 #[test]
-fn the_typed_reading_says_what_the_reading_field_by_field_says() {
+fn typed_parser_agrees_with_field_by_field_parser() {
     let parts: [&[&str]; 7] = [
         &[r#""uid":"s-1""#, r#""uid":"s-\"\u00e9""#, r#""uid":"""#, r#""uid":7"#, r#""uid":null"#, ""],
         &[
@@ -73,14 +74,13 @@
         ],
         &[r#""model":{"a":[1,{"b":null}]},"capacity_hint":1e3"#, r#""model":"m""#, ""],
     ];
-    let mut chance = ChaCha8Rng::seed_from_u64(1);
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
-        let mut fields: Vec<&str> =
-            parts.iter().map(|part| *part.choose(&mut chance).expect("one")).collect();
+        let mut fields: Vec<&str> = parts.iter().map(|part| *part.choose(&mut rng).expect("one")).collect();
         fields.retain(|field| !field.is_empty());
-        fields.shuffle(&mut chance);
-        if chance.random_bool(0.05) {
-            // The last of a field that comes twice counts.
+        fields.shuffle(&mut rng);
+        if rng.random_bool(0.05) {
+            // Of a field that is repeated the last value counts.
             fields.push(r#""state":"draining""#);
         }
         let good = r#"{"uid":"s-9","state":"draining"}"#;
@@ -91,11 +91,11 @@
     }
 }
 
-/// Given a whole list of 7,100 nodes of which three differ from what is known, then just these are changes; the same list
-/// again is none, nor is it by a later version.
+/// Given a complete list in which three of 7,100 nodes differ from the known list, then only these three are changes. The
+/// same list again gives no change, nor does it under a later version.
 #[test]
-fn a_whole_list_changes_what_differs_and_no_more() {
-    let (mut membership, mut source) = full();
+fn complete_list_gives_only_the_differences() {
+    let (mut membership, mut source) = synced_membership();
     let mut entries: Vec<Entry> = (0..NODES).map(|n| entry(n, NodeState::Ready)).collect();
     entries[17].state = NodeState::Draining;
     entries[4000].address = Some(([127, 0, 0, 9], 81).into());
@@ -114,10 +114,10 @@
     assert_eq!((membership.len(), membership.ready()), (NODES - 1, NODES - 2));
 }
 
-/// What is unchanged renews its number all the same: an older list must not undo what a newer one has confirmed.
+/// An unchanged entry gets the newer version all the same: an older list must not undo what a newer one has confirmed.
 #[test]
-fn an_entry_that_changes_nothing_counts_as_the_newer_record() {
-    let (mut membership, mut source) = full();
+fn unchanged_entry_updates_the_version_of_its_record() {
+    let (mut membership, mut source) = synced_membership();
     membership.apply(&list(9, false, vec![entry(5, NodeState::Ready)]), &mut source, 2.0);
     let mut other = SourceCursor::default();
     let moved = Entry { address: Some(([127, 0, 0, 9], 81).into()), ..entry(5, NodeState::Ready) };
@@ -125,11 +125,11 @@
     assert_eq!(membership.apply(&list(10, false, vec![moved]), &mut other, 3.0).len(), 1);
 }
 
-/// Each part of what is known, changed alone, is a change; one that holds another shard names the one it left, and one
-/// whose record lacks its address and its shard keeps them.
+/// Each field that differs, alone, is a change. A change of shard names the previous shard, and a node whose entry lacks
+/// address and shard keeps both.
 #[test]
-fn each_part_that_differs_is_a_change() {
-    let (mut membership, mut source) = full();
+fn each_field_that_differs_is_a_change() {
+    let (mut membership, mut source) = synced_membership();
     let base = entry(5, NodeState::Ready);
     let parts = [
         Entry { zone: "other".into(), ..base.clone() },
@@ -152,10 +152,10 @@
     assert_eq!(seen, [(5, None, v4), (5, None, v4), (9, Some(5), v4), (5, Some(9), v6), (5, None, v6)]);
 }
 
-/// A node that comes back after it left is another one to those who know it by its number.
+/// A node that returns after its departure gets a new id, so that users of the old id take it for another node.
 #[test]
-fn a_node_that_comes_back_has_a_number_of_its_own() {
-    let (mut membership, mut source) = full();
+fn returning_node_gets_a_new_id() {
+    let (mut membership, mut source) = synced_membership();
     let before = membership.node("s-00000005").expect("listed").id;
     let changes = membership.apply(&list(2, false, vec![entry(5, NodeState::Gone)]), &mut source, 2.0);
     assert!(matches!(&changes[..], [NodeChange::Removed(node)] if node.id == before));
@@ -166,24 +166,24 @@
     assert!(back != before && numbers.len() == NODES && !numbers.contains(&before));
 }
 
-/// Histories from seeds in which some 2,000 of 7,100 nodes are replaced by others at each of ten versions, told by
-/// sources that lag: what left by the newest version told is not listed again by any older list, also when more have
-/// left than the least number remembered.
+/// Random histories in which some 2,000 of 7,100 nodes are replaced at each of ten versions, from sources that lag: a node
+/// that had departed by the newest version received is not listed again by an older list, also when more nodes have
+/// departed than the minimum that is retained.
 #[test]
-fn no_older_list_brings_back_any_of_thousands_that_left() {
+fn older_list_brings_back_none_of_thousands_of_departed_nodes() {
     for seed in 0..3 {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        // At each version the first and the last of the names that are listed.
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        // The first and the last number of the listed nodes at each version.
         let mut spans = vec![(0, NODES)];
         for version in 1..10 {
-            let replaced = chance.random_range(1500..2500);
+            let replaced = rng.random_range(1500..2500);
             spans.push((spans[version - 1].0 + replaced, spans[version - 1].1 + replaced));
         }
-        let whole = |version: usize| {
+        let complete = |version: usize| {
             let entries = (spans[version].0..spans[version].1).map(|n| entry(n, NodeState::Ready));
             list(version as u64, true, entries.collect())
         };
-        // All that changed after one version up to another.
+        // All changes after one version up to another.
         let change = |after: usize, version: usize| {
             let (before, now) = (spans[after], spans[version]);
             let gone = (before.0..now.0).map(|n| entry(n, NodeState::Gone));
@@ -192,15 +192,15 @@
         };
         let (mut membership, mut newest, mut present) = (Membership::default(), 0, 0);
         let mut sources: [SourceCursor; 2] = Default::default();
-        membership.apply(&whole(0), &mut sources[0], 0.0);
+        membership.apply(&complete(0), &mut sources[0], 0.0);
         for step in 0..60 {
             let now = step as f64 / 100.0;
-            present = (present + usize::from(chance.random_bool(0.4))).min(9);
-            let version = present.saturating_sub(chance.random_range(0..3));
-            let source = &mut sources[usize::from(chance.random_bool(0.5))];
+            present = (present + usize::from(rng.random_bool(0.4))).min(9);
+            let version = present.saturating_sub(rng.random_range(0..3));
+            let source = &mut sources[usize::from(rng.random_bool(0.5))];
             let after = source.version() as usize;
-            let list = match after > version || chance.random_bool(0.5) {
-                true => whole(version),
+            let list = match after > version || rng.random_bool(0.5) {
+                true => complete(version),
                 false => change(after, version),
             };
             membership.apply(&list, source, now);
@@ -210,15 +210,15 @@
             assert_eq!(stale, 0, "seed {seed}, step {step}: version {version} after {newest}");
         }
         assert_eq!(newest, 9, "seed {seed}");
-        assert!(spans[9].0 > 3 * MIN_DEPARTED, "more have left than were remembered before");
-        assert!(membership.knows("s-00000000"), "the first that left is remembered yet");
+        assert!(spans[9].0 > 3 * MIN_DEPARTED, "more have departed than the minimum that is retained");
+        assert!(membership.knows("s-00000000"), "the first that departed is still retained");
     }
 }
 
-/// Guards against names that come without end: of all that left, four times the longest list are remembered.
+/// The memory of departed nodes is bounded: as many are retained as four times the longest list.
 #[test]
-fn departed_names_are_forgotten_past_four_times_the_longest_list() {
-    let (mut membership, mut source) = full();
+fn departed_names_are_dropped_beyond_four_times_the_longest_list() {
+    let (mut membership, mut source) = synced_membership();
     for round in 1..8 {
         let entries = (0..NODES).map(|n| entry(round * NODES + n, NodeState::Ready)).collect();
         membership.apply(&list(round as u64 + 1, true, entries), &mut source, round as f64);
@@ -228,15 +228,15 @@
     assert_eq!(known, [false, false, false, true, true, true, true, true]);
 }
 
-/// A whole list that names a node by an entry that can't be read does not lack it: what is known of it stands.
+/// A complete list with an unreadable entry for a node does not lack that node: its known record is unchanged.
 #[test]
-fn a_node_whose_entry_cant_be_read_does_not_depart() {
-    let (mut membership, mut source) = full();
+fn node_with_an_unreadable_entry_stays_listed() {
+    let (mut membership, mut source) = synced_membership();
     let broken = r#"{"uid":"s-00000005","endpoint":"nowhere","state":"ready"}"#;
     let good = r#"{"uid":"s-00000006","endpoint":"127.0.0.6:80","az":"z0","pod_group":6,"state":"ready"}"#;
     let text = format!(r#"{{"rev":2,"all":true,"targets":[{broken},{good}]}}"#);
-    let whole = CompactList::parse(text.as_bytes()).expect("a list");
-    membership.apply(&whole, &mut source, 2.0);
+    let complete = CompactList::parse(text.as_bytes()).expect("a list");
+    membership.apply(&complete, &mut source, 2.0);
     assert_eq!((membership.len(), membership.ready()), (2, 2));
     assert_eq!(
         membership.node("s-00000005").and_then(|node| node.address),
--- a/crates/membership/tests/decoder.rs
+++ b/crates/membership/tests/decoder.rs
@@ -1,4 +1,4 @@
-//! Lists in any layout, cut anywhere, and beside what can't be read.
+//! Decoding of lists in any layout, split at any byte, and next to input that can't be read.
 
 use flaxgap_membership::decoder::{DecodeError, Decoded, ListDecoder, MAX_LIST_BYTES};
 use flaxgap_membership::list::{EndpointList, NodeState};
@@ -15,47 +15,48 @@
     serde_json::to_string_pretty(&value).expect("a text")
 }
 
-/// Everything that a stream gives when its bytes come in these pieces.
-fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> (Vec<EndpointList>, Vec<String>) {
-    let (mut values, mut lists, mut problems) = (ListDecoder::default(), Vec::new(), Vec::new());
+/// Decodes a stream that arrives in these pieces; returns its lists and its errors.
+fn decode<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> (Vec<EndpointList>, Vec<String>) {
+    let mut decoder = ListDecoder::default();
+    let (mut lists, mut errors) = (Vec::new(), Vec::new());
     for piece in pieces {
-        values.push(piece);
-        while let Some(next) = values.next_list() {
+        decoder.push(piece);
+        while let Some(next) = decoder.next_list() {
             match next {
                 Ok(Decoded::List(list, _)) => lists.push(list),
                 Ok(Decoded::KnownList) => unreachable!("nothing is known"),
-                Err(problem) => problems.push(problem.to_string()),
+                Err(error) => errors.push(error.to_string()),
             }
         }
     }
-    (lists, problems)
+    (lists, errors)
 }
 
 fn versions(lists: &[EndpointList]) -> Vec<u64> {
     lists.iter().map(|list| list.version).collect()
 }
 
-/// Given lists to a line, indented and two on a line, with braces, quotes and line ends inside strings, when the stream is
-/// cut at any byte into two reads, then every list is read, with its drain.
+/// Lists on one line, indented, and two on a line, with braces, quotes and line ends inside strings: wherever the stream is
+/// split into two reads, every list is decoded, with its draining node.
 #[test]
-fn a_list_in_any_layout_is_one_value_wherever_it_is_cut() {
+fn lists_in_any_layout_are_decoded_wherever_the_stream_is_split() {
     let stream = format!("\n{}\n\n{}\n{}{}\r\n\n", compact(1), indented(2), compact(3), indented(4));
     let bytes = stream.as_bytes();
     for cut in 0..=bytes.len() {
-        let (lists, problems) = read([&bytes[..cut], &bytes[cut..]]);
-        assert_eq!((versions(&lists), problems), (vec![1, 2, 3, 4], vec![]), "cut at {cut}");
+        let (lists, errors) = decode([&bytes[..cut], &bytes[cut..]]);
+        assert_eq!((versions(&lists), errors), (vec![1, 2, 3, 4], vec![]), "split at {cut}");
         let drains = lists
             .iter()
             .all(|l| l.entries[0].state == NodeState::Draining && l.entries[0].name == "s-}\"{\n[");
-        assert!(drains, "cut at {cut}");
+        assert!(drains, "split at {cut}");
     }
-    assert_eq!(versions(&read(bytes.chunks(1)).0), [1, 2, 3, 4]);
+    assert_eq!(versions(&decode(bytes.chunks(1)).0), [1, 2, 3, 4]);
 }
 
-/// Given something that can't be read, when lists come after it, then they are read as soon as they are whole, and what
-/// could not be read is told once, with its place, wherever the stream is cut.
+/// Given input that can't be read, when lists follow, then each is decoded once it is complete, and the error is reported
+/// once, with its offset, wherever the stream is split.
 #[test]
-fn what_cant_be_read_costs_no_later_list_its_word() {
+fn lists_after_unreadable_input_are_decoded() {
     let cases: [(&str, &str); 7] = [
         ("{\"rev\":2,\"targets\":[{\"uid\":\"s-1\n", "byte 31: a string that does not end"),
         ("no list\n", "byte 0: no object"),
@@ -68,69 +69,71 @@
         ("[1,\n2]\n", "byte 0: no object"),
         ("{\"rev\":2,}\n", "value at byte 0: list: trailing comma at line 1 column 10"),
     ];
-    for (bad, told) in cases {
+    for (bad, expected) in cases {
         let stream = format!("{bad}{}\n{}\n", indented(3), compact(4));
         for cut in 0..=stream.len() {
-            let (lists, problems) = read([&stream.as_bytes()[..cut], &stream.as_bytes()[cut..]]);
+            let (lists, errors) = decode([&stream.as_bytes()[..cut], &stream.as_bytes()[cut..]]);
             assert_eq!(
-                (versions(&lists), problems),
-                (vec![3, 4], vec![told.to_string()]),
-                "{bad}, cut at {cut}"
+                (versions(&lists), errors),
+                (vec![3, 4], vec![expected.to_string()]),
+                "{bad}, split at {cut}"
             );
         }
     }
 }
 
-/// Given a list that was cut short between two values, when the next ones come, then these are read: what would follow
-/// without a comma shows the break.
+/// Given a list that was truncated between two values, when others follow, then these are decoded: the missing comma shows
+/// where the truncated list ended.
 #[test]
-fn a_list_cut_short_does_not_swallow_the_next() {
-    let short = compact(2);
-    let short = &short[..short.len() - 2];
-    let (lists, problems) = read([format!("{short}\n{}\n{}\n", compact(3), indented(4)).as_bytes()]);
+fn truncated_list_does_not_hide_the_next() {
+    let complete = compact(2);
+    let truncated = &complete[..complete.len() - 2];
+    let (lists, errors) = decode([format!("{truncated}\n{}\n{}\n", compact(3), indented(4)).as_bytes()]);
     assert_eq!(versions(&lists), [3, 4]);
-    assert_eq!(problems.len(), 1, "{problems:?}");
-    let (lists, problems) = read([format!("{{\"rev\":2,\"targets\":[],\n\n{}\n", compact(3)).as_bytes()]);
-    assert_eq!((versions(&lists), problems), (vec![3], vec!["byte 24: a name is missing".into()]));
-    // Two that can't be read, with a list between them, are told apart.
-    let (lists, problems) = read([format!("x\n{}\ny\n{}\n", compact(3), compact(4)).as_bytes()]);
-    assert_eq!((versions(&lists), problems.len()), (vec![3, 4], 2));
+    assert_eq!(errors.len(), 1, "{errors:?}");
+    let (lists, errors) = decode([format!("{{\"rev\":2,\"targets\":[],\n\n{}\n", compact(3)).as_bytes()]);
+    assert_eq!((versions(&lists), errors), (vec![3], vec!["byte 24: a name is missing".into()]));
+    // Two unreadable parts with a list between them are two errors.
+    let (lists, errors) = decode([format!("x\n{}\ny\n{}\n", compact(3), compact(4)).as_bytes()]);
+    assert_eq!((versions(&lists), errors.len()), (vec![3, 4], 2));
 }
 
-/// Guards against a value without an end that takes the memory.
+/// A value without an end can't exhaust the memory.
 #[test]
-fn a_value_past_the_longest_length_is_given_up() {
-    let (mut values, piece, mut pushed) = (ListDecoder::default(), vec![b'x'; 64 << 10], 0);
-    values.push(b"\n{\"rev\":1,\"targets\":[\"");
-    let problem = loop {
-        values.push(&piece);
+fn value_beyond_the_size_limit_is_an_error() {
+    let mut decoder = ListDecoder::default();
+    let piece = vec![b'x'; 64 << 10];
+    let mut pushed = 0;
+    decoder.push(b"\n{\"rev\":1,\"targets\":[\"");
+    let error = loop {
+        decoder.push(&piece);
         pushed += piece.len();
-        if let Some(next) = values.next_list() {
+        if let Some(next) = decoder.next_list() {
             break next.expect_err("no list");
         }
-        assert!(values.has_incomplete_list() && pushed <= MAX_LIST_BYTES + piece.len());
+        assert!(decoder.has_incomplete_list() && pushed <= MAX_LIST_BYTES + piece.len());
     };
-    assert!(matches!(problem, DecodeError::TooLong { offset: 1 }), "{problem}");
-    assert!(!values.has_incomplete_list());
+    assert!(matches!(error, DecodeError::TooLong { offset: 1 }), "{error}");
+    assert!(!decoder.has_incomplete_list());
 }
 
-/// Given a whole list of 1,024 nodes in small pieces, when it is read, then no piece costs a look at all that came before.
+/// A complete list of 1,024 nodes is decoded from pieces of 100 bytes.
 #[test]
-fn a_list_of_1024_nodes_is_looked_at_once() {
+fn list_of_1024_nodes_is_decoded_from_small_pieces() {
     let entry = |n: usize| ENTRY.replacen("s-", &format!("s-{n}"), 1);
     let entries: Vec<String> = (0..1024).map(entry).collect();
     let text = format!("{{\"rev\":7,\"all\":true,\"targets\":[\n{}\n]}}\n", entries.join(",\n"));
-    let (lists, problems) = read(text.as_bytes().chunks(100));
-    assert_eq!((lists[0].entries.len(), problems.len()), (1024, 0));
+    let (lists, errors) = decode(text.as_bytes().chunks(100));
+    assert_eq!((lists[0].entries.len(), errors.len()), (1024, 0));
 }
 
-/// Given an answer that brings the same text once more, when its print is known, then it is not read, and another is.
+/// A text whose fingerprint is known is not parsed again; another text is.
 #[test]
-fn a_text_that_is_known_is_told_as_such() {
-    let mut values = ListDecoder::default();
-    values.push(indented(1).as_bytes());
-    let Some(Ok(Decoded::List(_, print))) = values.next_list() else { panic!("no list") };
-    let mut again = ListDecoder::new(Some(print));
+fn known_text_is_not_parsed_again() {
+    let mut decoder = ListDecoder::default();
+    decoder.push(indented(1).as_bytes());
+    let Some(Ok(Decoded::List(_, fingerprint))) = decoder.next_list() else { panic!("no list") };
+    let mut again = ListDecoder::new(Some(fingerprint));
     again.push(format!("{}\n{}", indented(1), compact(2)).as_bytes());
     assert!(matches!(again.next_list(), Some(Ok(Decoded::KnownList))));
     assert!(matches!(again.next_list(), Some(Ok(Decoded::List(list, _))) if list.version == 2));
--- a/crates/membership/tests/equivalence.rs
+++ b/crates/membership/tests/equivalence.rs
@@ -1,5 +1,5 @@
-//! Membership keeps compact records and notes once what a whole list says of all that it lacks. It must hold the same nodes
-//! as the plainest form of its rules does, after every list of any history.
+//! `Membership` keeps compact records, and one record for all nodes that a complete list lacks. After every list of any
+//! history it has to have the same nodes as the reference implementation of its rules.
 
 mod eager;
 
@@ -13,7 +13,8 @@
 const LISTS: usize = 150;
 const SEEDS: u64 = 1500;
 
-/// What is known of a node from outside, without what only an eager table tells of an entry that changed nothing.
+/// The nodes as a user of the membership sees them. The reference also reports entries that change nothing, which makes no
+/// difference here.
 type Known = BTreeMap<String, (NodeState, Option<std::net::SocketAddr>, Option<u32>)>;
 
 fn apply(known: &mut Known, changes: Vec<EntryChange>) {
@@ -30,48 +31,46 @@
     }
 }
 
-fn draw_entry(chance: &mut ChaCha8Rng, now: f64) -> Entry {
-    let state = match chance.random_range(0..6) {
+fn random_entry(rng: &mut ChaCha8Rng, now: f64) -> Entry {
+    let state = match rng.random_range(0..6) {
         0..3 => NodeState::Ready,
         3..5 => NodeState::Draining,
         _ => NodeState::Gone,
     };
     let ready = state == NodeState::Ready;
-    let address =
-        (ready || chance.random_bool(0.5)).then(|| ([127, 0, 0, chance.random_range(1..3)], 80).into());
-    let shard = (ready || chance.random_bool(0.5)).then(|| chance.random_range(0..3));
-    let boot = if chance.random_bool(0.5) { 0.0 } else { now - chance.random_range(-1.0..10.0) };
-    let name = format!("s-{}", chance.random_range(0..12));
-    Entry { name, address, zone: String::new(), shard, state, started_at: boot }
+    let address = (ready || rng.random_bool(0.5)).then(|| ([127, 0, 0, rng.random_range(1..3)], 80).into());
+    let shard = (ready || rng.random_bool(0.5)).then(|| rng.random_range(0..3));
+    let started_at = if rng.random_bool(0.5) { 0.0 } else { now - rng.random_range(-1.0..10.0) };
+    let name = format!("s-{}", rng.random_range(0..12));
+    Entry { name, address, zone: String::new(), shard, state, started_at }
 }
 
-/// Guards against a record that is read other than the last list left it: lists whole and partial, versions that repeat,
-/// go back and are counted anew, from two sources.
+/// Random complete and partial lists from two sources, whose versions repeat, go back and restart.
 #[test]
-fn any_history_leaves_the_nodes_that_the_plainest_rules_leave() {
+fn membership_agrees_with_the_reference_after_any_history() {
     for seed in 0..SEEDS {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (mut compact, mut eager) = (Membership::default(), EagerMembership::default());
         let mut sources: [(SourceCursor, EagerSource); 2] = Default::default();
         let (mut known, mut expected) = (Known::new(), Known::new());
         let (mut now, mut version) = (100.0, 20);
         for step in 0..LISTS {
-            now += if chance.random_bool(0.05) { 6.0 } else { chance.random_range(0.0..1.0) };
-            version += u64::from(chance.random_bool(0.5));
-            let back = if chance.random_bool(0.3) { chance.random_range(0..6) } else { 0 };
-            let entries = (0..chance.random_range(0..8)).map(|_| draw_entry(&mut chance, now)).collect();
+            now += if rng.random_bool(0.05) { 6.0 } else { rng.random_range(0.0..1.0) };
+            version += u64::from(rng.random_bool(0.5));
+            let back = if rng.random_bool(0.3) { rng.random_range(0..6) } else { 0 };
+            let entries = (0..rng.random_range(0..8)).map(|_| random_entry(&mut rng, now)).collect();
             let list = EndpointList {
                 version: version.saturating_sub(back),
-                is_snapshot: chance.random_bool(0.4),
+                is_snapshot: rng.random_bool(0.4),
                 entries,
                 unreadable: vec![],
             };
-            if chance.random_bool(0.01) {
+            if rng.random_bool(0.01) {
                 version = 1;
             }
-            let (source, eager_source) = &mut sources[usize::from(chance.random_bool(0.3))];
+            let (source, eager_source) = &mut sources[usize::from(rng.random_bool(0.3))];
             apply(&mut known, compact.apply_named(list.clone(), source, now));
-            apply(&mut expected, eager.take(list, eager_source, now));
+            apply(&mut expected, eager.apply(list, eager_source, now));
             assert_eq!(known, expected, "seed {seed}, list {step}");
         }
     }
--- a/crates/membership/tests/list_header.rs
+++ b/crates/membership/tests/list_header.rs
@@ -1,17 +1,18 @@
-//! A whole list is known for one by its first bytes, in any layout, and never before its version has come in full.
+//! A complete list is recognized by its first bytes, in any layout, and never before its whole version was received.
 
 use flaxgap_membership::decoder::{Decoded, ListDecoder, MAX_LIST_BYTES};
 
 const CUTS: usize = 200;
 
-fn begun(text: &str) -> Option<u64> {
-    let mut values = ListDecoder::default();
-    values.push(text.as_bytes());
-    while values.next_compact().is_some() {}
-    values.incomplete_snapshot_version()
+/// The version of the complete list that `text` ends in the middle of, if it is known.
+fn incomplete_version(text: &str) -> Option<u64> {
+    let mut decoder = ListDecoder::default();
+    decoder.push(text.as_bytes());
+    while decoder.next_compact().is_some() {}
+    decoder.incomplete_snapshot_version()
 }
 
-/// Layouts of one whole list of version 4107, each with the length from which on its first two fields are known.
+/// Layouts of one complete list of version 4107, each with the length of its first two fields.
 fn layouts() -> Vec<(String, usize)> {
     let entry =
         r#"{"uid":"s-1","endpoint":"127.0.0.1:80","az":"a","pod_group":0,"state":"ready","boot_ms":0}"#;
@@ -26,21 +27,21 @@
     headers.iter().map(|header| (format!("{header}\n {rest}"), header.len())).collect()
 }
 
-/// Given a whole list that is cut at any of its first 200 bytes, then its version is known from the end of its header on,
-/// and not a byte before: half a number is another version.
+/// Given a complete list that is truncated at any of its first 200 bytes, then its version is known from the end of its
+/// header on, and not a byte before: half a number is another version.
 #[test]
-fn a_version_is_known_from_the_byte_on_at_which_it_is_certain() {
+fn version_is_known_from_the_end_of_the_header_on() {
     for (text, header) in layouts() {
         for cut in 0..CUTS {
             let expected = (cut >= header).then_some(4107);
-            assert_eq!(begun(&text[..cut]), expected, "{text:?}, cut at {cut}");
+            assert_eq!(incomplete_version(&text[..cut]), expected, "{text:?}, truncated at {cut}");
         }
     }
 }
 
-/// Given a text whose first two fields are not those of a whole list, then no version is known from its first bytes.
+/// Given a text whose first two fields are not those of a complete list, then no version is known from its first bytes.
 #[test]
-fn what_does_not_begin_as_a_whole_list_has_no_version_yet() {
+fn other_text_has_no_version() {
     let others = [
         r#"{"rev":7,"all":false,"targets":["#,
         r#"{"rev":7,"targets":[{"uid":"s-1","#,
@@ -58,17 +59,20 @@
         "",
     ];
     for text in others {
-        assert_eq!(begun(text), None, "{text}");
+        assert_eq!(incomplete_version(text), None, "{text}");
     }
-    // The rest of a line that can't be read is none either.
-    assert_eq!(begun(r#"x {"rev":7,"all":true,"targets":["#), None);
-    assert_eq!(begun("{\"rev\":6,\"targets\":[]}\n{\"rev\":7,\"all\":true,\"targets\":["), Some(7));
+    // Nor does the rest of a line that can't be read.
+    assert_eq!(incomplete_version(r#"x {"rev":7,"all":true,"targets":["#), None);
+    assert_eq!(
+        incomplete_version("{\"rev\":6,\"targets\":[]}\n{\"rev\":7,\"all\":true,\"targets\":["),
+        Some(7)
+    );
 }
 
-/// Guards against a limit below the size that is provided for: 7,100 nodes, indented more widely than any tool does by
-/// default, fill less than half of it, and are read in full.
+/// A list of 7,100 nodes, indented more widely than any tool does by default, takes less than half of the size limit and is
+/// decoded in full.
 #[test]
-fn seven_thousand_indented_entries_are_read_with_room_to_spare() {
+fn list_of_7100_indented_entries_is_within_the_size_limit() {
     let indent = " ".repeat(16);
     let entry = |n: usize| {
         let fields = [
@@ -87,8 +91,8 @@
     let text =
         format!("{{\n  \"rev\": 7,\n  \"all\": true,\n  \"targets\": [\n{}\n]}}\n", entries.join(",\n"));
     assert!(text.len() > 2_500_000 && text.len() < MAX_LIST_BYTES / 2, "{} of {MAX_LIST_BYTES}", text.len());
-    let mut values = ListDecoder::default();
-    values.push(text.as_bytes());
-    let Some(Ok(Decoded::List(list, _))) = values.next_compact() else { panic!("no list") };
+    let mut decoder = ListDecoder::default();
+    decoder.push(text.as_bytes());
+    let Some(Ok(Decoded::List(list, _))) = decoder.next_compact() else { panic!("no list") };
     assert_eq!((list.len(), list.unreadable.len()), (7100, 0));
 }
--- a/crates/membership/tests/wire.rs
+++ b/crates/membership/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Entries that can't be read, between others that can.
+//! Parsing of lists with entries that can't be read.
 
 use flaxgap_membership::list::{EndpointList, NodeState};
 use flaxgap_membership::wire::ListError;
@@ -7,9 +7,9 @@
     EndpointList::parse(format!(r#"{{"rev":7,"all":false,"targets":[{targets}]}}"#).as_bytes())
 }
 
-/// Guards against one bad entry that costs the others their word, and a drain above all.
+/// One unreadable entry does not affect the others; a drain counts whatever else is wrong with its entry.
 #[test]
-fn an_entry_that_cant_be_read_costs_no_other_its_word() {
+fn unreadable_entry_does_not_affect_others() {
     let good =
         r#"{"uid":"s-9","endpoint":"127.0.0.1:80","az":"a","pod_group":3,"state":"draining","boot_ms":1500}"#;
     let cases = [
@@ -43,9 +43,9 @@
     }
 }
 
-/// Guards against deployments whose lists lack what this one's have: zones, a start, a shard.
+/// Lists of other deployments may lack zones, start times and shards.
 #[test]
-fn what_is_absent_or_null_is_not_wrong() {
+fn absent_and_null_fields_are_valid() {
     let list = parse(
         r#"{"uid":"s-1","endpoint":"127.0.0.1:80","az":null,"state":"ready","boot_ms":null},
            {"uid":"s-2","state":"gone"},{"uid":"s-3","state":"draining"}"#,
@@ -56,9 +56,9 @@
     assert_eq!(read, [("", Some(0), 0.0), ("", None, 0.0), ("", None, 0.0)]);
 }
 
-/// Guards against a list of another form that would empty the fleet.
+/// A list of another format must not remove all nodes.
 #[test]
-fn a_list_of_which_nothing_can_be_read_is_refused() {
+fn list_without_readable_entry_is_rejected() {
     assert!(matches!(
         parse(r#"{"name":"s-1"},{"name":"s-2"}"#),
         Err(ListError::NoReadableEntry { version: 7, count: 2, .. })
