--- a/src/discovery/client/tests.rs
+++ b/src/discovery/client/tests.rs
@@ -1,6 +1,6 @@
-//! Tests of this module's private parts.
+//! Tests of the watcher against agents in virtual time: outages, slow responses and lists that arrive in parts.
 
-mod whole_lists;
+mod complete_lists;
 
 use super::*;
 use crate::discovery::schedule::{PollSchedule, SourceKind};
@@ -12,116 +12,121 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 const GRACE: Duration = Duration::from_millis(250);
-const EVERY: Duration = Duration::from_micros(62_500);
+/// Poll interval of a local agent for [`GRACE`].
+const POLL_INTERVAL: Duration = Duration::from_micros(62_500);
 
-/// Outages of each kind that are played.
+/// Simulated outages of each kind.
 const SEEDS: u64 = 350;
 
-/// Nodes in a whole list beside the one that drains.
+/// Nodes in a complete list beside the one that drains.
 const OTHERS: usize = 80;
 
-/// How an agent behaves while it is silent.
+/// How an agent behaves during an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Silence {
-    /// It takes calls and never answers those.
-    TakesAndForgets,
-    /// It takes calls and answers them at its return.
+enum Outage {
+    /// Connections open, and calls are never answered.
+    NeverAnswers,
+    /// Connections open, and calls are answered at its return.
     AnswersLate,
-    /// No connection comes up, not even at its return.
-    TakesNone,
-    /// It opens watches and says nothing on them, ever.
-    OpensMute,
-    /// It refuses.
+    /// No connection opens, not even at its return.
+    NeverConnects,
+    /// Watches open, and nothing is ever sent on them.
+    OpensIdle,
+    /// Connections are refused.
     Refuses,
-    /// It takes calls and closes them.
+    /// Connections open and are closed at the first request.
     Closes,
 }
 
-/// An agent in virtual time: speaks until `down`, and again from `up`, when it has a drain, version 2.
+/// An agent in virtual time that is out of service from `down` to `up`, and then has a draining node, version 2.
 struct Agent {
-    silence: Silence,
-    /// Watches that stood before the silence speak at its end, and before any call is answered.
-    old_speaks: bool,
-    /// It answers with the whole list, longer than what a connection holds, where others tell what changed.
-    whole: bool,
+    outage: Outage,
+    /// Watches from before the outage receive the update at its end, before any call is answered.
+    resumes_old_watches: bool,
+    /// It answers watches with the complete list, longer than the buffer of a connection, in place of the changes.
+    sends_snapshots: bool,
     down: Instant,
     up: Instant,
-    out: Cell<usize>,
-    most_out: Cell<usize>,
+    open_connections: Cell<usize>,
+    max_open_connections: Cell<usize>,
     calls: RefCell<Vec<Instant>>,
 }
 
-struct Out(Rc<Agent>);
+/// Counts an open connection until it is dropped.
+struct ConnectionGuard(Rc<Agent>);
 
-impl Drop for Out {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.out.set(self.0.out.get() - 1);
+        self.0.open_connections.set(self.0.open_connections.get() - 1);
     }
 }
 
 impl Agent {
-    fn silent(&self) -> bool {
+    fn is_down(&self) -> bool {
         (self.down..self.up).contains(&Instant::now())
     }
 
-    fn out(self: &Rc<Agent>) -> Out {
-        self.out.set(self.out.get() + 1);
-        self.most_out.set(self.most_out.get().max(self.out.get()));
-        Out(self.clone())
+    fn count_connection(self: &Rc<Agent>) -> ConnectionGuard {
+        self.open_connections.set(self.open_connections.get() + 1);
+        let max = self.max_open_connections.get().max(self.open_connections.get());
+        self.max_open_connections.set(max);
+        ConnectionGuard(self.clone())
     }
 
     /// Serves one connection to its end.
-    async fn serve(self: Rc<Agent>, mut stream: DuplexStream, _out: Out) -> io::Result<()> {
+    async fn serve(self: Rc<Agent>, mut stream: DuplexStream, _guard: ConnectionGuard) -> io::Result<()> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(stream.read_u8().await?);
         }
         let head = String::from_utf8_lossy(&head).into_owned();
         let since = head.split("since=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
-        if self.silent() {
-            match self.silence {
-                Silence::AnswersLate => {
+        if self.is_down() {
+            match self.outage {
+                Outage::AnswersLate => {
                     if timeout_at(self.up, closed(&mut stream)).await.is_ok() {
                         return Ok(());
                     }
                 }
-                Silence::Closes => return Ok(()),
-                silence => {
-                    if silence == Silence::OpensMute {
+                Outage::Closes => return Ok(()),
+                outage => {
+                    if outage == Outage::OpensIdle {
                         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
                     }
                     closed(&mut stream).await;
                     return Ok(());
                 }
             }
-        } else if self.old_speaks && Instant::now() >= self.up {
+        } else if self.resumes_old_watches && Instant::now() >= self.up {
             sleep(Duration::from_secs(5)).await;
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         let Some(since) = since else {
-            return say(&mut stream, "{\"rev\":1,\"all\":true,\"targets\":[]}").await;
+            return send_line(&mut stream, "{\"rev\":1,\"all\":true,\"targets\":[]}").await;
         };
         let drain = "{\n\"rev\": 2,\n\"targets\": [{\"uid\": \"s-1\", \"state\": \"draining\"}]}";
-        let whole_drain = whole_lists::text_of(OTHERS, 2, "draining");
-        let drain = if self.whole { &whole_drain } else { drain };
+        let drain_snapshot = complete_lists::text_of(OTHERS, 2, "draining");
+        let drain = if self.sends_snapshots { &drain_snapshot } else { drain };
         let now = if Instant::now() >= self.up { 2 } else { 1 };
         match now > since {
-            true => say(&mut stream, drain).await?,
-            false if self.whole => say(&mut stream, &whole_lists::text_of(OTHERS, 1, "ready")).await?,
-            false => say(&mut stream, &format!("{{\"rev\":{now},\"targets\":[]}}")).await?,
+            true => send_line(&mut stream, drain).await?,
+            false if self.sends_snapshots => {
+                send_line(&mut stream, &complete_lists::text_of(OTHERS, 1, "ready")).await?
+            }
+            false => send_line(&mut stream, &format!("{{\"rev\":{now},\"targets\":[]}}")).await?,
         }
         while Instant::now() < self.down {
-            let beat = self.down.min(Instant::now() + Duration::from_secs(2));
-            if timeout_at(beat, closed(&mut stream)).await.is_ok() {
+            let heartbeat_at = self.down.min(Instant::now() + Duration::from_secs(2));
+            if timeout_at(heartbeat_at, closed(&mut stream)).await.is_ok() {
                 return Ok(());
             }
             if Instant::now() < self.down {
-                say(&mut stream, "").await?;
+                send_line(&mut stream, "").await?;
             }
         }
-        if now == 1 && self.old_speaks {
+        if now == 1 && self.resumes_old_watches {
             sleep_until(self.up).await;
-            say(&mut stream, drain).await?;
+            send_line(&mut stream, drain).await?;
         }
         closed(&mut stream).await;
         Ok(())
@@ -133,7 +138,8 @@
     while stream.read(&mut [0; 64]).await.is_ok_and(|some| some > 0) {}
 }
 
-async fn say(stream: &mut DuplexStream, text: &str) -> io::Result<()> {
+/// Sends a line as one chunk of the response.
+async fn send_line(stream: &mut DuplexStream, text: &str) -> io::Result<()> {
     stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).await
 }
 
@@ -142,118 +148,142 @@
 
     async fn connect(&self, _: SocketAddr) -> io::Result<DuplexStream> {
         self.calls.borrow_mut().push(Instant::now());
-        let out = self.out();
-        match self.silence {
-            Silence::TakesNone if self.silent() => std::future::pending().await,
-            Silence::Refuses if self.silent() => return Err(io::ErrorKind::ConnectionRefused.into()),
+        let guard = self.count_connection();
+        match self.outage {
+            Outage::NeverConnects if self.is_down() => std::future::pending().await,
+            Outage::Refuses if self.is_down() => return Err(io::ErrorKind::ConnectionRefused.into()),
             _ => {}
         }
         let (near, far) = duplex(4096);
         let agent = self.clone();
-        spawn_local(async move { _ = agent.serve(far, out).await });
+        spawn_local(async move { _ = agent.serve(far, guard).await });
         Ok(near)
     }
 }
 
-/// Numbers by chance (xorshift).
-fn draws(seed: u64) -> impl FnMut(u64) -> u64 {
+/// Returns a generator of random numbers below its argument (xorshift).
+fn random_numbers(seed: u64) -> impl FnMut(u64) -> u64 {
     let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-    move |most| {
+    move |bound| {
         state ^= state << 13;
         state ^= state >> 7;
         state ^= state << 17;
-        (state >> 11) % most
+        (state >> 11) % bound
     }
 }
 
-/// What one outage came to.
-struct Played {
-    /// From the agent's return until a head knows of the drain.
-    late: Duration,
-    most_out: usize,
+/// Result of one simulated outage.
+struct OutageResult {
+    /// From the agent's return until the head has received the drain.
+    delay: Duration,
+    max_open_connections: usize,
     calls: Vec<Instant>,
 }
 
-/// One outage of a head's own agent, of 0.1 to 20 s, at any moment of its heartbeat; the head may have started
-/// before it, or at any moment of it.
-fn play(silence: Silence, old_speaks: bool, seed: u64) -> Played {
-    play_with(silence, old_speaks, false, seed)
+/// Simulates an outage of a local agent of 0.1 to 20 s, at any moment of its heartbeat interval. The head starts before the
+/// outage or at any moment of it.
+fn simulate(outage: Outage, resumes_old_watches: bool, seed: u64) -> OutageResult {
+    simulate_with(outage, resumes_old_watches, false, seed)
 }
 
-fn play_with(silence: Silence, old_speaks: bool, whole: bool, seed: u64) -> Played {
+fn simulate_with(
+    outage: Outage,
+    resumes_old_watches: bool,
+    sends_snapshots: bool,
+    seed: u64,
+) -> OutageResult {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = runtime.expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let mut draw = draws(seed);
-        let down = Instant::now() + Duration::from_micros(2_000_000 + draw(4_000_000));
-        let lasts = Duration::from_micros(match draw(3) {
-            0 => 100_000 + draw(3_000_000),
-            _ => 100_000 + draw(19_900_000),
+        let mut random_below = random_numbers(seed);
+        let down = Instant::now() + Duration::from_micros(2_000_000 + random_below(4_000_000));
+        let duration = Duration::from_micros(match random_below(3) {
+            0 => 100_000 + random_below(3_000_000),
+            _ => 100_000 + random_below(19_900_000),
+        });
+        let up = down + duration;
+        let (open_connections, max_open_connections, calls) = Default::default();
+        let agent = Rc::new(Agent {
+            outage,
+            resumes_old_watches,
+            sends_snapshots,
+            down,
+            up,
+            open_connections,
+            max_open_connections,
+            calls,
         });
-        let up = down + lasts;
-        let (out, most_out, calls) = Default::default();
-        let agent = Rc::new(Agent { silence, old_speaks, whole, down, up, out, most_out, calls });
-        if !old_speaks && draw(3) == 0 {
-            sleep_until(down + lasts.mul_f64(draw(1000) as f64 / 1000.0)).await;
+        if !resumes_old_watches && random_below(3) == 0 {
+            sleep_until(down + duration.mul_f64(random_below(1000) as f64 / 1000.0)).await;
         }
         let schedule = PollSchedule::new(300, seed, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         loop {
             match watcher.next_event(|| SourceRequest::WatchSince(1)).await {
                 WatchEvent::List { list, .. } if list.version == 2 => break,
-                _ => assert!(up.elapsed() < Duration::from_secs(30), "{silence:?}, seed {seed}: never heard"),
+                _ => assert!(
+                    up.elapsed() < Duration::from_secs(30),
+                    "{outage:?}, seed {seed}: the update was never received"
+                ),
             }
         }
-        let late = Instant::now() - up;
-        Played { late, most_out: agent.most_out.get(), calls: agent.calls.take() }
+        let delay = Instant::now() - up;
+        OutageResult {
+            delay,
+            max_open_connections: agent.max_open_connections.get(),
+            calls: agent.calls.take(),
+        }
     })
 }
 
-/// Hard case: an agent that was silent for 0.1 to 20 s and has a drain at its return, in 2,100 outages from seeds. A head
-/// knows of it within one span of its pace, a quarter of the grace, and so has most of the grace left for what is
-/// about to be sent.
+/// An agent is out of service for 0.1 to 20 s and has a draining node at its return, in 2,100 random outages. The head
+/// receives that within one poll interval, a quarter of the grace, and has most of the grace left for requests that it
+/// is about to send.
 #[test]
-fn a_drain_that_an_agent_has_at_its_return_is_heard_within_a_quarter_of_the_grace() {
-    use Silence::*;
-    for silence in [TakesAndForgets, AnswersLate, TakesNone, OpensMute, Refuses, Closes] {
-        let (mut most, mut sum) = (Duration::ZERO, Duration::ZERO);
+fn drain_is_received_within_one_poll_interval_after_an_outage() {
+    use Outage::*;
+    for outage in [NeverAnswers, AnswersLate, NeverConnects, OpensIdle, Refuses, Closes] {
+        let mut max_delay = Duration::ZERO;
+        let mut total_delay = Duration::ZERO;
         for seed in 1..=SEEDS {
-            let played = play(silence, false, seed);
+            let result = simulate(outage, false, seed);
             assert!(
-                played.late <= EVERY + Duration::from_millis(2),
-                "{silence:?}, seed {seed}: {:?}",
-                played.late
+                result.delay <= POLL_INTERVAL + Duration::from_millis(2),
+                "{outage:?}, seed {seed}: {:?}",
+                result.delay
             );
             assert!(
-                played.most_out <= MAX_CALLS_IN_FLIGHT + 2,
-                "{silence:?}, seed {seed}: {}",
-                played.most_out
+                result.max_open_connections <= MAX_CALLS_IN_FLIGHT + 2,
+                "{outage:?}, seed {seed}: {}",
+                result.max_open_connections
             );
-            (most, sum) = (most.max(played.late), sum + played.late);
-            // Calls in any second: an agent that refuses or closes is not hammered.
-            for (n, at) in played.calls.iter().enumerate() {
+            max_delay = max_delay.max(result.delay);
+            total_delay += result.delay;
+            // Calls in any second: an agent that refuses or closes connections is not overloaded.
+            for (n, at) in result.calls.iter().enumerate() {
                 let within =
-                    played.calls[n..].iter().take_while(|c| **c - *at < Duration::from_secs(1)).count();
-                assert!(within <= 17, "{silence:?}, seed {seed}: {within} calls in a second");
+                    result.calls[n..].iter().take_while(|c| **c - *at < Duration::from_secs(1)).count();
+                assert!(within <= 17, "{outage:?}, seed {seed}: {within} calls in a second");
             }
         }
-        println!("{silence:?}: {most:?} at most, {:?} on average", sum / SEEDS as u32);
+        println!("{outage:?}: {max_delay:?} at most, {:?} on average", total_delay / SEEDS as u32);
     }
 }
 
-/// Given a watch from before the silence that speaks first, seconds before the agent answers any call, then it is heard.
+/// Given a watch from before the outage that receives the update seconds before the agent answers any call, then the head
+/// receives it at once.
 #[test]
-fn an_old_watch_that_speaks_first_is_heard() {
+fn update_on_a_watch_from_before_the_outage_is_received() {
     for seed in 1..=200 {
-        let played = play(Silence::TakesAndForgets, true, seed);
-        assert!(played.late <= Duration::from_millis(2), "seed {seed}: {:?}", played.late);
+        let result = simulate(Outage::NeverAnswers, true, seed);
+        assert!(result.delay <= Duration::from_millis(2), "seed {seed}: {:?}", result.delay);
     }
 }
 
-/// Given an agent that takes its time for each answer, nearly as long as a call may take, then a call is left for long
-/// enough to hear it, although others begin after it.
+/// Given an agent that takes nearly the call timeout for each response, then a call is kept until its response arrives,
+/// although others begin after it.
 #[test]
-fn an_agent_that_is_slow_is_heard() {
+fn response_of_a_slow_agent_is_received() {
     #[derive(Clone)]
     struct Slow;
     impl Connect for Slow {
@@ -264,7 +294,7 @@
             spawn_local(async move {
                 _ = far.read(&mut [0; 1024]).await;
                 _ = far.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-                _ = say(&mut far, "{\"rev\":2,\"targets\":[]}").await;
+                _ = send_line(&mut far, "{\"rev\":2,\"targets\":[]}").await;
                 while far.read(&mut [0; 64]).await.is_ok_and(|some| some > 0) {}
             });
             Ok(near)
@@ -272,18 +302,19 @@
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let (schedule, began) = (PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE), Instant::now());
+        let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
+        let started_at = Instant::now();
         let mut watcher = Watcher::new(Slow, ([127, 0, 0, 1], 1).into(), &schedule);
-        let news = watcher.next_event(|| SourceRequest::WatchSince(1)).await;
-        assert!(matches!(&news, WatchEvent::List { list, .. } if list.version == 2), "{news:?}");
-        assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
+        let event = watcher.next_event(|| SourceRequest::WatchSince(1)).await;
+        assert!(matches!(&event, WatchEvent::List { list, .. } if list.version == 2), "{event:?}");
+        assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
     });
 }
 
-/// Given a whole list whose answer ends, or whose first bytes are blank, some time apart from the list itself, when it
-/// has come, then a watch is opened after it, at a shared service too, where no other call would be made.
+/// Given a complete list whose response begins with a blank line and ends some time after the list itself, when the list
+/// has been received, then a watch is opened, also on a shared server, where no other call would be made.
 #[test]
-fn a_whole_list_in_pieces_is_heard_and_followed() {
+fn watch_is_opened_after_a_complete_list_in_pieces() {
     #[derive(Clone)]
     struct Pieces;
     impl Connect for Pieces {
@@ -296,11 +327,11 @@
                 let watch = String::from_utf8_lossy(&head[..length]).contains("follow=1");
                 _ = far.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
                 if watch {
-                    _ = say(&mut far, "{\"rev\":2,\"targets\":[]}").await;
+                    _ = send_line(&mut far, "{\"rev\":2,\"targets\":[]}").await;
                     return closed(&mut far).await;
                 }
                 for text in ["", "{\"rev\":1,\"all\":true,\"targets\":[]}", ""] {
-                    _ = say(&mut far, text).await;
+                    _ = send_line(&mut far, text).await;
                     sleep(Duration::from_millis(30)).await;
                 }
                 _ = far.write_all(b"0\r\n\r\n").await;
@@ -313,17 +344,27 @@
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
             let schedule = PollSchedule::new(1, 1, kind, GRACE);
             let mut watcher = Watcher::new(Pieces, ([127, 0, 0, 1], 1).into(), &schedule);
-            let (mut told, began) = (0, Instant::now());
-            while told < 2 {
+            let mut version = 0;
+            let started_at = Instant::now();
+            while version < 2 {
                 match watcher
-                    .next_event(|| if told == 0 { SourceRequest::List } else { SourceRequest::WatchSince(1) })
+                    .next_event(
+                        || if version == 0 { SourceRequest::List } else { SourceRequest::WatchSince(1) },
+                    )
                     .await
                 {
-                    WatchEvent::List { list, .. } => told = list.version,
-                    _ => assert!(began.elapsed() < Duration::from_secs(2), "{kind:?}, at {told}"),
+                    WatchEvent::List { list, .. } => version = list.version,
+                    _ => assert!(
+                        started_at.elapsed() < Duration::from_secs(2),
+                        "{kind:?}, at version {version}"
+                    ),
                 }
             }
-            assert!(began.elapsed() < Duration::from_millis(200), "{kind:?}: {:?}", began.elapsed());
+            assert!(
+                started_at.elapsed() < Duration::from_millis(200),
+                "{kind:?}: {:?}",
+                started_at.elapsed()
+            );
         });
     }
 }
--- a/src/discovery/client/tests/whole_lists.rs
+++ b/src/discovery/client/tests/complete_lists.rs
@@ -1,18 +1,18 @@
-//! Agents that answer each renewed watch with the whole list: one of the known version is dropped after its first bytes,
-//! and no change is lost or late by it.
+//! Agents that answer each renewed watch with the complete list: a list of the known version is skipped after its first
+//! bytes, and no update is lost or delayed by that.
 
 use super::*;
 use crate::discovery::client::call::CallMessage;
 
-/// Renewals that a test watches.
+/// Calls after which a test ends.
 const RENEWALS: usize = 24;
 
-/// A whole list of four hundred nodes and `s-1`: longer than what a connection and its reader hold at once.
+/// A complete list of four hundred nodes and `s-1`: longer than the buffers of a connection and its reader.
 fn text(rev: u64, state: &str) -> String {
     text_of(400, rev, state)
 }
 
-/// A whole list of so many nodes and `s-1`.
+/// A complete list of `others` nodes and `s-1`.
 pub(super) fn text_of(others: usize, rev: u64, state: &str) -> String {
     let other = |n: usize| format!(r#"{{"uid":"s-1{n:07x}","endpoint":"127.0.0.1:80","state":"ready"}}"#);
     let others: Vec<String> = (0..others).map(other).collect();
@@ -37,12 +37,12 @@
 
 use Step::*;
 
-/// An agent whose answer to each call, by its number from 0, is written down; it notes what was closed before its end.
+/// An agent whose response to each call is scripted by the call's number, from 0.
 #[derive(Clone)]
 struct Scripted {
     script: Rc<dyn Fn(usize) -> Vec<Step>>,
     calls: Rc<Cell<usize>>,
-    /// Bytes of lists that were taken.
+    /// Bytes of lists that the connections accepted.
     written: Rc<Cell<usize>>,
 }
 
@@ -64,7 +64,7 @@
                     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await?;
                     self.written.set(self.written.get() + text.len());
                 }
-                Pause(span) => sleep(span).await,
+                Pause(duration) => sleep(duration).await,
                 Until(at) => sleep_until(at).await,
                 Hold => closed(&mut stream).await,
                 Refuse => return Ok(()),
@@ -95,7 +95,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), async { test().await });
 }
 
-/// The versions of the lists that come until `until` holds, with the state that they have `s-1` in.
+/// The versions of the lists that are received until `until` returns true, each with its state of `s-1`.
 async fn lists_until(watcher: &mut Watcher<'_, Scripted>, until: impl Fn() -> bool) -> Vec<(u64, NodeState)> {
     let mut lists = vec![];
     while !until() {
@@ -104,9 +104,9 @@
                 let first = list.entries().find(|entry| entry.name == "s-1");
                 lists.push((list.version, first.expect("it names s-1").state));
             }
-            Ok(WatchEvent::WatchLost) => panic!("the standing watch was lost"),
+            Ok(WatchEvent::WatchLost) => panic!("the current watch was lost"),
             Ok(_) => {}
-            Err(_) => panic!("nothing comes any more, after {lists:?}"),
+            Err(_) => panic!("no more events after {lists:?}"),
         }
     }
     lists
@@ -115,120 +115,123 @@
 use flaxgap_membership::list::NodeState;
 use tokio::time::timeout;
 
-/// The outages of the test beside this one, with an agent that answers each watch with the whole list: the drain at its
-/// return is heard as soon.
+/// The outages of the parent module's test, with an agent that answers each watch with the complete list: the drain at its
+/// return is received as early.
 #[test]
-fn a_drain_in_a_whole_list_is_heard_within_a_quarter_of_the_grace() {
-    use Silence::*;
-    for silence in [TakesAndForgets, AnswersLate, TakesNone, OpensMute, Refuses, Closes] {
-        let (mut most, mut sum) = (Duration::ZERO, Duration::ZERO);
+fn drain_in_a_complete_list_is_received_within_one_poll_interval_after_an_outage() {
+    use Outage::*;
+    for outage in [NeverAnswers, AnswersLate, NeverConnects, OpensIdle, Refuses, Closes] {
+        let mut max_delay = Duration::ZERO;
+        let mut total_delay = Duration::ZERO;
         for seed in 1..=SEEDS {
-            let played = play_with(silence, false, true, seed);
-            let late = played.late;
-            assert!(late <= EVERY + Duration::from_millis(2), "{silence:?}, seed {seed}: {late:?}");
+            let result = simulate_with(outage, false, true, seed);
+            let delay = result.delay;
+            assert!(delay <= POLL_INTERVAL + Duration::from_millis(2), "{outage:?}, seed {seed}: {delay:?}");
             assert!(
-                played.most_out <= MAX_CALLS_IN_FLIGHT + 2,
-                "{silence:?}, seed {seed}: {}",
-                played.most_out
+                result.max_open_connections <= MAX_CALLS_IN_FLIGHT + 2,
+                "{outage:?}, seed {seed}: {}",
+                result.max_open_connections
             );
-            (most, sum) = (most.max(late), sum + late);
+            max_delay = max_delay.max(delay);
+            total_delay += delay;
         }
-        println!("{silence:?}: {most:?} at most, {:?} on average", sum / SEEDS as u32);
+        println!("{outage:?}: {max_delay:?} at most, {:?} on average", total_delay / SEEDS as u32);
     }
     for seed in 1..=200 {
-        let played = play_with(TakesAndForgets, true, true, seed);
-        assert!(played.late <= Duration::from_millis(2), "seed {seed}: {:?}", played.late);
+        let result = simulate_with(NeverAnswers, true, true, seed);
+        assert!(result.delay <= Duration::from_millis(2), "seed {seed}: {:?}", result.delay);
     }
 }
 
-/// Given renewals that begin by the known version, cut at any of their first 200 bytes, when the rest never comes, then
-/// they are dropped, the first watch goes on standing, and what it delivers is heard at once.
+/// Given renewed watches that begin with the known version and stall at any of their first 200 bytes, then they are skipped,
+/// the first watch stays the current one, and its update is received at once.
 #[test]
-fn a_renewal_by_the_known_version_is_dropped_and_the_watch_stands_on() {
-    // The header ends after so many bytes.
-    let header = r#"{"rev":1,"all":true,"#.len();
-    for cut in (header..200).chain([4000]) {
+fn renewed_watch_with_the_known_version_is_skipped() {
+    let header_length = r#"{"rev":1,"all":true,"#.len();
+    for cut in (header_length..200).chain([4000]) {
         in_virtual_time(|| async move {
-            let news = Instant::now() + Duration::from_millis(1500);
+            let update_at = Instant::now() + Duration::from_millis(1500);
             let agent = Scripted::new(move |number| match number {
-                0 => vec![Write(text(1, "ready")), Until(news), Write(text(2, "draining")), Hold],
+                0 => vec![Write(text(1, "ready")), Until(update_at), Write(text(2, "draining")), Hold],
                 _ => vec![
-                    Write(text(1, "ready")[..header.min(cut) - 3].into()),
+                    Write(text(1, "ready")[..header_length.min(cut) - 3].into()),
                     Pause(Duration::from_millis(5)),
-                    Write(text(1, "ready")[header - 3..cut].into()),
+                    Write(text(1, "ready")[header_length - 3..cut].into()),
                     Hold,
                 ],
             });
             let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
             let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
             let calls = agent.calls.clone();
-            let lists = lists_until(&mut watcher, || Instant::now() >= news).await;
+            let lists = lists_until(&mut watcher, || Instant::now() >= update_at).await;
             assert_eq!(lists, [(1, NodeState::Ready), (2, NodeState::Draining)], "cut at {cut}");
-            assert!(Instant::now() - news < Duration::from_millis(1), "cut at {cut}");
+            assert!(Instant::now() - update_at < Duration::from_millis(1), "cut at {cut}");
             assert!(calls.get() >= 23, "{} renewals", calls.get());
             assert!(agent.written.get() < 3 * text(1, "ready").len() + calls.get() * cut);
         });
     }
 }
 
-/// Given the same renewals in full, when they come for seconds, then of each of them no more is taken than what the
-/// connection holds, and the other side counts as living throughout.
+/// Given renewed watches that send the known list in full for seconds, then no more of each is received than the
+/// connection's buffer holds, and each counts as a heartbeat.
 #[test]
-fn a_dropped_renewal_is_not_transferred_and_proves_life() {
+fn skipped_list_is_not_transferred_and_counts_as_a_heartbeat() {
     in_virtual_time(|| async {
         let agent = Scripted::new(|_| vec![Write(text(1, "ready")), Hold]);
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
-        let (mut lists, mut alive, end) = (0, 0, Instant::now() + Duration::from_secs(8));
+        let (mut lists, mut heartbeats) = (0, 0);
+        let end = Instant::now() + Duration::from_secs(8);
         while Instant::now() < end {
             match watcher.next_event(|| SourceRequest::WatchSince(1)).await {
                 WatchEvent::List { .. } => lists += 1,
-                WatchEvent::Heartbeat => alive += 1,
+                WatchEvent::Heartbeat => heartbeats += 1,
                 other => panic!("{other:?}"),
             }
         }
-        assert_eq!((lists, agent.calls.get()), (1, alive + lists));
-        // Of the known list no renewal was taken to its end.
+        assert_eq!((lists, agent.calls.get()), (1, heartbeats + lists));
+        // No renewed watch transferred the known list to its end.
         assert_eq!(agent.written.get(), text(1, "ready").len());
     });
 }
 
-/// Given a renewal that begins by another version, cut at any of its first 200 bytes for a while, then it is read and
-/// stands: what it delivers later is heard.
+/// Given a renewed watch that begins with another version and pauses at any of its first 200 bytes, then it is read and
+/// becomes the current watch: its later update is received.
 #[test]
-fn a_renewal_by_another_version_is_never_dropped() {
-    for (rev, cut) in (0..200).map(|cut| (2, cut)).chain((0..200).map(|cut| (11, cut))) {
+fn renewed_watch_with_another_version_is_read() {
+    for (version, cut) in (0..200).map(|cut| (2, cut)).chain((0..200).map(|cut| (11, cut))) {
         in_virtual_time(|| async move {
             let agent = Scripted::new(move |number| {
                 let (first, rest) =
-                    (text(rev, "draining")[..cut].into(), text(rev, "draining")[cut..].into());
+                    (text(version, "draining")[..cut].into(), text(version, "draining")[cut..].into());
                 match number {
                     0..8 => vec![Write(text(1, "ready")), Hold],
                     8 => {
                         let pause = Pause(Duration::from_millis(20));
                         let later = Pause(Duration::from_millis(200));
-                        vec![Write(first), pause, Write(rest), later, Write(text(rev + 1, "ready")), Hold]
+                        vec![Write(first), pause, Write(rest), later, Write(text(version + 1, "ready")), Hold]
                     }
-                    _ => vec![Write(text(rev, "draining")), Hold],
+                    _ => vec![Write(text(version, "draining")), Hold],
                 }
             });
             let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
             let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
             let calls = agent.calls.clone();
             let lists = lists_until(&mut watcher, || calls.get() >= RENEWALS).await;
-            let expected = [(1, NodeState::Ready), (rev, NodeState::Draining), (rev + 1, NodeState::Ready)];
-            assert_eq!(lists[..3], expected, "version {rev}, cut at {cut}");
+            let expected =
+                [(1, NodeState::Ready), (version, NodeState::Draining), (version + 1, NodeState::Ready)];
+            assert_eq!(lists[..3], expected, "version {version}, cut at {cut}");
         });
     }
 }
 
-/// Given a version that repeats with other content, since its source counts anew, when anything has put the version in
-/// doubt, then it is read: the other list is heard by the next renewal but one.
+/// Given a version that is used again with other content, since its source has restarted its numbering, when the version
+/// is in doubt for any reason, then the list is read: it is received by the next renewed watch but one.
 #[test]
-fn a_version_in_doubt_is_read_again() {
+fn list_of_a_version_in_doubt_is_read_again() {
     let ready = || text(1, "ready");
     let other = || vec![Write(text(1, "draining")), Hold];
-    // What the calls before the other list bring; the first of them is the standing watch.
+    // Responses before the other list; the first of them is the current watch.
     let closes: fn(usize) -> Vec<Step> = |number| match number {
         0 => vec![Write(text(1, "ready")), Pause(Duration::from_millis(300))],
         _ => vec![Write(text(1, "ready")), Hold],
@@ -241,12 +244,12 @@
         5 => vec![Write("no list\n".into()), Hold],
         _ => vec![Write(text(1, "ready")), Hold],
     };
-    let falls_silent: fn(usize) -> Vec<Step> = |number| match number {
+    let stalls: fn(usize) -> Vec<Step> = |number| match number {
         0..5 => vec![Write(text(1, "ready")), Hold],
         _ => vec![Hold],
     };
-    for (what, script, changes_at) in
-        [("closes", closes, 4), ("refuses", refuses, 6), ("breaks", breaks, 6), ("silent", falls_silent, 25)]
+    for (case, script, changes_at) in
+        [("closes", closes, 4), ("refuses", refuses, 6), ("breaks", breaks, 6), ("stalls", stalls, 25)]
     {
         in_virtual_time(|| async move {
             let agent = Scripted::new(move |number| match number < changes_at {
@@ -263,10 +266,10 @@
                     states.extend(list.entries().find(|entry| entry.name == "s-1").map(|entry| entry.state));
                 }
             }
-            assert_eq!(states, [NodeState::Ready, NodeState::Draining], "{what}");
+            assert_eq!(states, [NodeState::Ready, NodeState::Draining], "{case}");
         });
     }
-    // A source that is behind what is known from elsewhere is read in full each time.
+    // The lists of a source that is behind the known list are read in full each time.
     in_virtual_time(|| async move {
         let agent = Scripted::new(move |_| vec![Write(ready()), Hold]);
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
@@ -283,9 +286,9 @@
     });
 }
 
-/// Where watches are not renewed, a list by the known version is the only one and has to stand: it is read in full.
+/// Where watches are not renewed, a list of the known version comes on the only watch there is: it is read in full.
 #[test]
-fn a_shared_source_is_never_dropped() {
+fn list_of_a_shared_server_is_never_skipped() {
     in_virtual_time(|| async {
         let agent = Scripted::new(|number| match number {
             0 => vec![Write(text(1, "ready")), Pause(Duration::from_millis(300))],
@@ -308,18 +311,18 @@
     });
 }
 
-/// Given a watch that stands by its heartbeat, when it goes on with a list of the known version, then it is read on: what
-/// is dropped could deliver nothing later.
+/// Given a watch that became the current one by a heartbeat, when it goes on with a list of the known version, then it is
+/// read on: a skipped watch could not deliver later updates.
 #[test]
-fn a_watch_that_stands_is_never_dropped() {
+fn current_watch_is_never_skipped() {
     in_virtual_time(|| async {
         let agent = Scripted::new(|number| match number {
             0 => vec![Write(text(1, "ready")), Hold],
             1 => {
                 let (first, rest) = (text(1, "ready")[..100].into(), text(1, "ready")[100..].into());
                 let pause = Pause(Duration::from_millis(10));
-                let news = Write(text(2, "draining"));
-                vec![Write("\n".into()), pause.clone(), Write(first), pause, Write(rest), news, Hold]
+                let update = Write(text(2, "draining"));
+                vec![Write("\n".into()), pause.clone(), Write(first), pause, Write(rest), update, Hold]
             }
             _ => vec![Hold],
         });
@@ -331,25 +334,25 @@
     });
 }
 
-/// Given a renewal that was dropped, when its version came into doubt before that is applied, then it proves nothing.
+/// Given a list that was skipped, when its version came into doubt before that message is handled, then it does not count
+/// as a heartbeat.
 #[test]
-fn a_dropped_renewal_whose_version_is_in_doubt_proves_nothing() {
+fn skipped_list_of_a_version_in_doubt_is_no_heartbeat() {
     in_virtual_time(|| async {
         let agent = Scripted::new(|_| vec![Hold]);
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent, ([127, 0, 0, 1], 1).into(), &schedule);
-        for (skippable, proves) in [(Some(7), true), (Some(8), false), (None, false)] {
+        for (skippable, is_heartbeat) in [(Some(7), true), (Some(8), false), (None, false)] {
             watcher.skippable.set(skippable);
             let event = watcher.on_message(1, CallMessage::SkippedSnapshot(7));
-            assert_eq!(event.is_some(), proves, "{skippable:?}");
+            assert_eq!(event.is_some(), is_heartbeat, "{skippable:?}");
         }
     });
 }
 
-/// Given a call for the whole list, which is made where something was lost, when its answer is of the known version, then
-/// it is read in full all the same.
+/// Given a relist after an update was lost, when its response has the known version, then it is read in full all the same.
 #[test]
-fn a_call_for_the_whole_list_is_never_dropped() {
+fn relist_is_never_skipped() {
     in_virtual_time(|| async {
         let agent = Scripted::new(|number| match number {
             3 => vec![Write(text(1, "draining")), Pause(Duration::from_millis(1)), Write("\n".into()), Hold],
@@ -357,29 +360,32 @@
         });
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
-        let (calls, mut lists) = (agent.calls.clone(), vec![]);
+        let calls = agent.calls.clone();
+        let mut lists = vec![];
         while calls.get() < 5 {
-            let ask = || if calls.get() == 3 { SourceRequest::List } else { SourceRequest::WatchSince(1) };
-            if let WatchEvent::List { list, request: ask } = watcher.next_event(ask).await {
-                lists.push((list.version, ask));
+            let next_request =
+                || if calls.get() == 3 { SourceRequest::List } else { SourceRequest::WatchSince(1) };
+            if let WatchEvent::List { list, request } = watcher.next_event(next_request).await {
+                lists.push((list.version, request));
             }
         }
         assert_eq!(lists[..2], [(1, SourceRequest::WatchSince(1)), (1, SourceRequest::List)]);
     });
 }
 
-/// Given a list that came by a call of its own, when watches answer with the same list, then the first of them is read in
-/// full and stands, before others are dropped.
+/// Given a list that was received by a relist, when watches answer with the same list, then the first of them is read in
+/// full and becomes the current watch, before others are skipped.
 #[test]
-fn a_watch_stands_before_any_is_dropped() {
+fn watch_is_current_before_any_list_is_skipped() {
     in_virtual_time(|| async {
         let agent = Scripted::new(|_| vec![Write(text(1, "ready")), Write("\n".into()), Hold]);
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let calls = agent.calls.clone();
         while calls.get() < 6 {
-            let ask = || if calls.get() == 0 { SourceRequest::List } else { SourceRequest::WatchSince(1) };
-            watcher.next_event(ask).await;
+            let next_request =
+                || if calls.get() == 0 { SourceRequest::List } else { SourceRequest::WatchSince(1) };
+            watcher.next_event(next_request).await;
         }
         assert!(watcher.calls.has_current_watch());
     });
