--- a/crates/attempts/src/lib.rs
+++ b/crates/attempts/src/lib.rs
@@ -14,9 +14,9 @@
     Rejected,
     /// No answer in time; it may have run, or still run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection, or it broke or ran out of time before the complete request was written; it never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke after the complete request was written; it may have run.
     Reset,
     /// Cancelled by this head; it may have run.
     Cancelled,
--- a/src/core/serve.rs
+++ b/src/core/serve.rs
@@ -1,12 +1,14 @@
 //! The life of one request, from its arrival to its one final answer.
 //!
-//! A request is in one of these states:
+//! A request is in one of three states (`ServeState`):
 //!
-//! - *waiting for a decision* of the scheduler: it is queued, or backs off between two attempts;
-//! - *attempting*: one attempt is in progress at a node;
-//! - *forwarding a streamed body*: an attempt took the body, which is not in memory. The request can't be sent again,
-//!   the scheduler's deadline no longer applies, and a shutdown waits for its end;
-//! - *finished*: its answer stands.
+//! - `WaitingForDecision`: the scheduler has to decide. The request is queued, or backs off between two attempts.
+//! - `Attempting`: one attempt is about to be sent to a node, or in progress there.
+//! - `Finished`: its answer is known.
+//!
+//! Forwarding a streamed body, one that is not in memory, is no state of its own: it is `Attempting` with
+//! `is_forwarding_body`, once the attempt has taken the body. From then on the request can't be sent again, the
+//! scheduler's deadline no longer applies, and the shutdown deadline doesn't cut the request off.
 
 use crate::core::content::{StreamedBody, UploadStream};
 use crate::core::decision::{Decision, SendDecision};
@@ -24,35 +26,35 @@
 /// Longest wait that a client is advised, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 3600.0;
 
-/// Where a request is.
-enum RequestState {
+/// The state of a request that is being served.
+enum ServeState {
     /// The scheduler has to decide.
     WaitingForDecision,
     /// An attempt is to be sent, or in progress.
     Attempting(SendDecision),
-    /// No more is to be done than to answer.
+    /// The outcome is known; what remains is to answer.
     Finished(Conclusion),
 }
 
-impl RequestState {
+impl ServeState {
     /// The state after a decision that came while no attempt was in progress.
-    fn after_decision(decision: Decision) -> RequestState {
+    fn after_decision(decision: Decision) -> ServeState {
         match decision {
-            Decision::Send(send) => RequestState::Attempting(send),
-            Decision::Cancel => RequestState::WaitingForDecision,
+            Decision::Send(send) => ServeState::Attempting(send),
+            Decision::Cancel => ServeState::WaitingForDecision,
             Decision::Reject { retry_after_s } => {
-                RequestState::Finished(Conclusion::Rejected { retry_after_s })
+                ServeState::Finished(Conclusion::Rejected { retry_after_s })
             }
-            Decision::Fail => RequestState::Finished(Conclusion::Failed),
+            Decision::Fail => ServeState::Finished(Conclusion::Failed),
         }
     }
 
     /// The state after a decision that ended an attempt. A request has one attempt at a time, so a decision to send
     /// another is not followed.
-    fn after_interruption(decision: Decision) -> RequestState {
+    fn after_interruption(decision: Decision) -> ServeState {
         match decision {
-            Decision::Send(_) => RequestState::WaitingForDecision,
-            other => RequestState::after_decision(other),
+            Decision::Send(_) => ServeState::WaitingForDecision,
+            other => ServeState::after_decision(other),
         }
     }
 }
@@ -75,7 +77,7 @@
 }
 
 /// What ended an attempt.
-enum AttemptEnd {
+enum AttemptCompletion {
     /// It ended by itself.
     Completed(AttemptResult),
     /// A decision of the scheduler cancelled it.
@@ -88,7 +90,7 @@
 struct EndedAttempt {
     number: usize,
     outcome: AttemptOutcome,
-    end: AttemptEnd,
+    end: AttemptCompletion,
 }
 
 impl Dispatcher {
@@ -109,15 +111,15 @@
         }
 
         let mut shutdown = pin!(self.shutdown_deadline.passed());
-        let mut state = RequestState::WaitingForDecision;
+        let mut state = ServeState::WaitingForDecision;
         let conclusion = loop {
             state = match state {
-                RequestState::WaitingForDecision => request.wait_for_decision(shutdown.as_mut()).await,
-                RequestState::Attempting(send) => {
+                ServeState::WaitingForDecision => request.wait_for_decision(shutdown.as_mut()).await,
+                ServeState::Attempting(send) => {
                     let attempt = request.run_attempt(transport, &send, shutdown.as_mut()).await;
                     request.report_attempt(attempt)
                 }
-                RequestState::Finished(conclusion) => break conclusion,
+                ServeState::Finished(conclusion) => break conclusion,
             };
         };
 
@@ -167,14 +169,14 @@
     }
 
     /// Waits for the scheduler's decision, no longer than until the shutdown deadline or until it is overdue.
-    async fn wait_for_decision(&self, shutdown: Pin<&mut impl Future<Output = ()>>) -> RequestState {
+    async fn wait_for_decision(&self, shutdown: Pin<&mut impl Future<Output = ()>>) -> ServeState {
         tokio::select! {
             biased;
-            decision = self.guard.decisions.recv() => RequestState::after_decision(decision),
+            decision = self.guard.decisions.recv() => ServeState::after_decision(decision),
             () = shutdown, if !self.is_forwarding_body() => {
-                RequestState::Finished(Conclusion::CutOffByShutdown)
+                ServeState::Finished(Conclusion::CutOffByShutdown)
             }
-            () = sleep_until(self.overdue_at) => RequestState::Finished(Conclusion::SchedulerOverdue),
+            () = sleep_until(self.overdue_at) => ServeState::Finished(Conclusion::SchedulerOverdue),
         }
     }
 
@@ -192,10 +194,10 @@
             tokio::select! {
                 // Decisions come first: an attempt that is cancelled before its first byte is never written.
                 biased;
-                decision = self.guard.decisions.recv() => break AttemptEnd::Interrupted(decision),
-                result = sending.as_mut() => break AttemptEnd::Completed(result),
+                decision = self.guard.decisions.recv() => break AttemptCompletion::Interrupted(decision),
+                result = sending.as_mut() => break AttemptCompletion::Completed(result),
                 () = shutdown.as_mut(), if !self.is_forwarding_body() => {
-                    break AttemptEnd::CutOffByShutdown;
+                    break AttemptCompletion::CutOffByShutdown;
                 }
                 () = streaming_started(self.upload()) => self.notify_streaming_started(),
             }
@@ -203,12 +205,12 @@
         // From here on it is certain how much of the attempt was written.
         drop(sending);
         let outcome = match &end {
-            AttemptEnd::Completed(result) => result.outcome,
-            AttemptEnd::Interrupted(_) | AttemptEnd::CutOffByShutdown => {
+            AttemptCompletion::Completed(result) => result.outcome,
+            AttemptCompletion::Interrupted(_) | AttemptCompletion::CutOffByShutdown => {
                 permit.written.get().outcome_if_cancelled()
             }
         };
-        self.update_limits(send.decided_at, outcome);
+        self.record_attempt_outcome(send.decided_at, outcome);
         EndedAttempt { number: send.attempt, outcome, end }
     }
 
@@ -223,8 +225,9 @@
         }
     }
 
-    /// Updates what an ended attempt changes for the next one and for the request's answer.
-    fn update_limits(&mut self, decided_at: Instant, outcome: AttemptOutcome) {
+    /// Records an ended attempt's outcome: whether the request may have run, when its retry window ends, and, for a
+    /// streamed body, when the scheduler is overdue.
+    fn record_attempt_outcome(&mut self, decided_at: Instant, outcome: AttemptOutcome) {
         if self.is_forwarding_body() {
             self.overdue_at = self.overdue_at.max(Instant::now() + OVERDUE_AFTER);
         }
@@ -240,20 +243,20 @@
 
     /// Notifies the scheduler of an ended attempt and returns the state that follows. At the shutdown deadline the
     /// guard does so, after the scheduler was notified that no answer is owed any more.
-    fn report_attempt(&self, attempt: EndedAttempt) -> RequestState {
+    fn report_attempt(&self, attempt: EndedAttempt) -> ServeState {
         match attempt.end {
-            AttemptEnd::Completed(result) => {
+            AttemptCompletion::Completed(result) => {
                 self.notify_attempt_ended(attempt.number, &result);
                 match result.outcome {
-                    AttemptOutcome::Ok => RequestState::Finished(Conclusion::Served(result.body)),
-                    _ => RequestState::WaitingForDecision,
+                    AttemptOutcome::Ok => ServeState::Finished(Conclusion::Served(result.body)),
+                    _ => ServeState::WaitingForDecision,
                 }
             }
-            AttemptEnd::Interrupted(decision) => {
+            AttemptCompletion::Interrupted(decision) => {
                 self.notify_attempt_ended(attempt.number, &AttemptResult::empty(attempt.outcome));
-                RequestState::after_interruption(decision)
+                ServeState::after_interruption(decision)
             }
-            AttemptEnd::CutOffByShutdown => RequestState::Finished(Conclusion::CutOffByShutdown),
+            AttemptCompletion::CutOffByShutdown => ServeState::Finished(Conclusion::CutOffByShutdown),
         }
     }
 
--- a/src/node/addresses.rs
+++ b/src/node/addresses.rs
@@ -28,10 +28,10 @@
     pub state: NodeState,
 }
 
-/// A node's address and the age of that knowledge.
+/// A node's address and state, and for how long they have been unchanged.
 pub(super) struct AddressStatus {
     pub(super) address: NodeAddress,
-    /// For how long the node has had this address and state.
+    /// Time since the node's name, address or state last changed, however often discovery has confirmed them.
     pub(super) unchanged_for: Duration,
 }
 
@@ -94,7 +94,7 @@
         (self.created_at.elapsed().as_millis() / TICK.as_millis()) as u32
     }
 
-    /// A node's address with its state and the age of that knowledge.
+    /// A node's address and state, and for how long they have been unchanged.
     pub(super) fn status(&self, node: NodeId) -> Option<AddressStatus> {
         let record = self.record(node)?;
         let address =
--- a/src/node/attempt.rs
+++ b/src/node/attempt.rs
@@ -151,11 +151,13 @@
         }
         match error {
             None if !progress.has_response_begun() => AttemptOutcome::Timeout,
+            // The node closed or reset the connection, before its response or midway in it.
             Some(error) if progress.is_closed_by_node() => {
                 log::debug!("node: connection closed by node, address={}: {error}", self.address);
                 AttemptOutcome::Reset
             }
-            // The node has run the request, but its response is malformed or stopped midway.
+            // The connection is still open: the response is malformed or too long, or it began but was not complete
+            // in time.
             _ => {
                 self.transport.counters.spoilt.add();
                 log::debug!("node: malformed response, address={}", self.address);
--- a/src/node/progress.rs
+++ b/src/node/progress.rs
@@ -16,7 +16,7 @@
 /// The request's way out. `body_taken` says whether the HTTP library has taken the body's last bytes from us; it may
 /// still buffer them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RequestState {
+enum WriteState {
     /// No byte has been written.
     NotStarted { body_taken: bool },
     /// The guard refused the first byte.
@@ -32,7 +32,7 @@
     counters: Rc<Counters>,
     /// Asked right before the request's first byte.
     guard: RefCell<Option<SendGuard>>,
-    request: Cell<RequestState>,
+    request: Cell<WriteState>,
     /// By when further bytes of the response must arrive; `None` until the first, and after an interim response.
     next_bytes_due: Cell<Option<Instant>>,
     /// Bytes read since the request began.
@@ -49,7 +49,7 @@
         Rc::new(ExchangeProgress {
             counters,
             guard: RefCell::default(),
-            request: Cell::new(RequestState::NotStarted { body_taken: false }),
+            request: Cell::new(WriteState::NotStarted { body_taken: false }),
             next_bytes_due: Cell::default(),
             bytes_read: Cell::default(),
             interim_received: Arc::default(),
@@ -61,7 +61,7 @@
     pub(super) fn start(&self, body_is_empty: bool, guard: SendGuard) {
         guard.permit.written.set(WriteProgress::Nothing);
         self.guard.replace(Some(guard));
-        self.request.set(RequestState::NotStarted { body_taken: body_is_empty });
+        self.request.set(WriteState::NotStarted { body_taken: body_is_empty });
         self.next_bytes_due.set(None);
         self.bytes_read.set(0);
         self.interim_received.store(false, Ordering::Relaxed);
@@ -71,14 +71,14 @@
     pub(super) fn check_first_byte(&self, stream: &TcpStream) -> io::Result<()> {
         let refused = || io::Error::other("the request may not begin");
         match self.request.get() {
-            RequestState::NotStarted { .. } => {}
-            RequestState::Refused(_) => return Err(refused()),
-            RequestState::Writing { .. } | RequestState::Complete => return Ok(()),
+            WriteState::NotStarted { .. } => {}
+            WriteState::Refused(_) => return Err(refused()),
+            WriteState::Writing { .. } | WriteState::Complete => return Ok(()),
         }
         let guard = self.guard.borrow();
         let Some(guard) = guard.as_ref() else { return Ok(()) };
         guard.check(Stage::FirstByte, Some(stream)).map_err(|reason| {
-            self.request.set(RequestState::Refused(reason));
+            self.request.set(WriteState::Refused(reason));
             refused()
         })
     }
@@ -86,30 +86,30 @@
     /// Notes that the HTTP library has taken the body's last bytes.
     pub(super) fn body_taken(&self) {
         match self.request.get() {
-            RequestState::NotStarted { .. } => {
-                self.request.set(RequestState::NotStarted { body_taken: true });
+            WriteState::NotStarted { .. } => {
+                self.request.set(WriteState::NotStarted { body_taken: true });
             }
-            RequestState::Writing { .. } => self.request.set(RequestState::Writing { body_taken: true }),
-            RequestState::Refused(_) | RequestState::Complete => {}
+            WriteState::Writing { .. } => self.request.set(WriteState::Writing { body_taken: true }),
+            WriteState::Refused(_) | WriteState::Complete => {}
         }
     }
 
     /// Notes that some bytes have been written to the socket.
     pub(super) fn bytes_written(&self) {
         match self.request.get() {
-            RequestState::NotStarted { body_taken } | RequestState::Writing { body_taken } => {
-                self.request.set(RequestState::Writing { body_taken });
+            WriteState::NotStarted { body_taken } | WriteState::Writing { body_taken } => {
+                self.request.set(WriteState::Writing { body_taken });
                 self.report_written(WriteProgress::Partial);
             }
-            RequestState::Refused(_) | RequestState::Complete => {}
+            WriteState::Refused(_) | WriteState::Complete => {}
         }
     }
 
     /// Notes that the HTTP library flushes. It does so only once its own buffer is empty, so after the body's last
     /// bytes were taken from us this means that the socket has the complete request.
     pub(super) fn flushed(&self) {
-        if self.request.get() == (RequestState::Writing { body_taken: true }) {
-            self.request.set(RequestState::Complete);
+        if self.request.get() == (WriteState::Writing { body_taken: true }) {
+            self.request.set(WriteState::Complete);
             self.report_written(WriteProgress::Complete);
             self.counters.attempts.add();
         }
@@ -125,14 +125,14 @@
     /// Why the request was not begun, if the guard refused it.
     pub(super) fn refused(&self) -> Option<NotSentReason> {
         match self.request.get() {
-            RequestState::Refused(reason) => Some(reason),
+            WriteState::Refused(reason) => Some(reason),
             _ => None,
         }
     }
 
     /// Whether the complete request has been written.
     pub(super) fn is_request_complete(&self) -> bool {
-        self.request.get() == RequestState::Complete
+        self.request.get() == WriteState::Complete
     }
 
     /// Notes that bytes of the response have arrived. An error if the response is longer than any may be.
--- a/src/scheduler/arrivals.rs
+++ b/src/scheduler/arrivals.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use super::interface::{Action, IoRequest, RequestId, ShardId};
-use super::pending_requests::{PendingRequest, RequestState};
+use super::pending_requests::{PendingRequest, QueueState};
 use super::settings::Class;
 use flaxgap_attempts::Attempts;
 
@@ -36,7 +36,7 @@
             deadline_at,
             is_reserved,
             ordered_extent,
-            state: RequestState::Queued,
+            state: QueueState::Queued,
             sample: self.random.sample(),
             attempts: Attempts::default(),
         });
@@ -60,15 +60,15 @@
         let shard = named_shard.unwrap_or_else(|| self.place_new_object());
         let Some(pending) = self.requests.get_mut(id) else { return };
         pending.shard = shard;
-        pending.state = RequestState::Queued;
+        pending.state = QueueState::Queued;
         self.node_queues.enqueue(id, shard, pending.request.class.0, self.now);
     }
 
     /// Takes a request out of its node queue, if it is in one.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(id) else { return };
-        if pending.state == RequestState::Queued {
-            pending.state = RequestState::Dispatched;
+        if pending.state == QueueState::Queued {
+            pending.state = QueueState::Dispatched;
             self.node_queues.dequeue(id, pending.shard, pending.request.class.0);
         }
     }
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use super::interface::{Action, Admission, RequestId};
 use super::node_backoff::LONGEST_PAUSE_S;
-use super::pending_requests::RequestState;
+use super::pending_requests::QueueState;
 use super::retry_rules;
 
 impl Scheduler {
@@ -57,7 +57,7 @@
         self.dequeue(id);
         self.requests.stop_deadline(id);
         let Some(pending) = self.requests.get_mut(id) else { return };
-        pending.state = RequestState::Completed;
+        pending.state = QueueState::Completed;
         if pending.attempts.has_in_flight() {
             return;
         }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -5,7 +5,7 @@
 use super::fair_queue::Band;
 use super::interface::{Action, Admission, RequestId, ShardId};
 use super::load_shedding::plan_weight;
-use super::pending_requests::RequestState;
+use super::pending_requests::QueueState;
 use flaxgap_attempts::Attempt;
 
 /// Multiples of the tightest latency objective for which a trial request is waited for.
@@ -20,7 +20,7 @@
             }
             let Some(queue) = self.node_queues.get(shard) else { continue };
             if !queue.backoff.is_over(self.now) && queue.has_queued() {
-                self.timers.block_until(queue.backoff.ends_at());
+                self.timers.evaluate_again_at(queue.backoff.ends_at());
             }
         }
     }
@@ -89,7 +89,7 @@
         let Some(queue) = self.node_queues.get(shard) else { return };
         let Some(node) = &queue.serving_node.endpoint else { return };
         let Some(pending) = self.requests.get_mut(id) else { return };
-        pending.state = RequestState::Dispatched;
+        pending.state = QueueState::Dispatched;
         pending.attempts.push(Attempt {
             shard,
             zone: node.zone,
--- a/src/scheduler/evaluation.rs
+++ b/src/scheduler/evaluation.rs
@@ -14,9 +14,9 @@
 use super::timers::Timers;
 use super::volume_quotas::VolumeQuotas;
 
-/// Requests beyond the reserves that all heads together keep in flight at a node under pressure, so that its state
-/// stays known.
-const PRESSED_NODE_IN_FLIGHT: f64 = 6.0;
+/// Shared requests that all heads together keep in flight at a node under pressure on average, one a head, however
+/// slow the node is: so its latency stays known.
+const MAX_IN_FLIGHT_UNDER_PRESSURE: f64 = 6.0;
 /// A request that waits for a node under pressure is evaluated again so many times within the tightest objective.
 const PRESSURE_CHECKS: f64 = 8.0;
 
@@ -65,8 +65,12 @@
         best
     }
 
-    /// A request's band and its place within it, if it may be sent now. The order of the checks matters: the buckets
-    /// are refilled by those that are reached.
+    /// A request's band and its place within it, if it may be sent now.
+    ///
+    /// The order of the steps matters. The volume's buckets are refilled for each request, but the node's slow-start
+    /// tokens only where the checks before that one pass: refilling in other steps would change the buckets'
+    /// floating-point results and time stamps. A check that fails also says when to evaluate again.
+    /// `tests/equivalence.rs` pins the decisions that follow.
     fn evaluate(&mut self, id: RequestId) -> Option<BandRank> {
         let requests: &'a PendingRequests = self.requests;
         let pending = &requests[id];
@@ -101,7 +105,7 @@
             ExtentTurn::Ready => true,
             ExtentTurn::BehindAnother => false,
             ExtentTurn::PausedUntil(at) => {
-                self.timers.block_until(at);
+                self.timers.evaluate_again_at(at);
                 false
             }
         }
@@ -113,7 +117,7 @@
         };
         let wait_s = self.slow_start.wait_s(self.queue, rate, pending, self.now);
         if wait_s > 0.0 {
-            self.timers.block_until(self.now + wait_s.max(self.settings.tick_s));
+            self.timers.evaluate_again_at(self.now + wait_s.max(self.settings.tick_s));
             return false;
         }
         true
@@ -136,14 +140,15 @@
         self.now + latency_s > pending.objective_at
     }
 
-    /// The node's latency in multiples of that from which on the node is under pressure.
+    /// Estimated latency divided by the pressure threshold; above 1 the node is under pressure.
     fn pressure(&self) -> f64 {
         let latency_s = self.queue.estimated_latency_s(self.now, self.fleet_latency);
         latency_s / (PRESSURE_FRACTION * self.tightest_objective_s)
     }
 
-    /// Whether the shedding level in force lets the request go now. What the level does not reserve goes only to a
-    /// node at which this head has nothing in flight.
+    /// Whether the shedding level in force lets the request go now. At `WithinReserve` a request that is
+    /// late or outside its reserve goes only to an idle node that is not under pressure; at `TrialOnly` any request
+    /// goes only to an idle node. A node is idle if this process has nothing in flight there.
     fn is_admitted(&self, pending: &PendingRequest, band: Band, pressure: f64) -> bool {
         let is_idle = self.queue.in_flight.is_empty();
         match self.load_shedding.admission(&pending.request, self.queue, self.now) {
@@ -153,10 +158,16 @@
         }
     }
 
-    /// Whether the request may go to a node under pressure, whose own queue delays reserved work: late work waits,
-    /// and shared work keeps one request in flight. Of many heads only some do so, by each request's sample.
+    /// Whether the request may go to the node although the node may be under pressure, so that its own queue delays
+    /// reserved work.
+    ///
+    /// - Late work waits for a node under pressure.
+    /// - Shared work waits for a node under pressure while this head has a request in flight there.
+    /// - Beyond `MAX_IN_FLIGHT_UNDER_PRESSURE` over all heads, the heads that still send are picked at random by the
+    ///   request's `sample`, the fewer the slower the node: shared work waits if the pressure is above `1 + sample`,
+    ///   reserved work if the estimated latency is above `1 + sample` times the tightest objective.
     fn fits_pressure(&mut self, pending: &PendingRequest, band: Band, pressure: f64) -> bool {
-        let is_excess = pending.sample * f64::from(self.settings.heads) > PRESSED_NODE_IN_FLIGHT;
+        let is_excess = pending.sample * f64::from(self.settings.heads) > MAX_IN_FLIGHT_UNDER_PRESSURE;
         let has_in_flight = !self.queue.in_flight.is_empty();
         let waits = match band {
             Band::Reserved => is_excess && pressure * PRESSURE_FRACTION > 1.0 + pending.sample,
@@ -164,7 +175,7 @@
             Band::Late => pressure > 1.0,
         };
         if waits {
-            self.timers.block_until(self.now + self.tightest_objective_s / PRESSURE_CHECKS);
+            self.timers.evaluate_again_at(self.now + self.tightest_objective_s / PRESSURE_CHECKS);
         }
         !waits
     }
@@ -181,7 +192,7 @@
         let is_late = self.is_late(pending);
         let wait_s = self.volume_quotas.limit_wait_s(&pending.request, is_late, self.now);
         if wait_s > 0.0 {
-            self.timers.block_until(self.now + wait_s);
+            self.timers.evaluate_again_at(self.now + wait_s);
             return false;
         }
         true
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -59,9 +59,9 @@
 
         let is_in_time = late_at > now;
         let next_check_at = if is_in_time { late_at } else { wait_ends_at };
-        self.timers.block_until(window_ends_at);
+        self.timers.evaluate_again_at(window_ends_at);
         if !is_retry {
-            self.timers.block_until(next_check_at);
+            self.timers.evaluate_again_at(next_check_at);
         }
 
         let fits_in_time =
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -127,7 +127,7 @@
             self.handle_sampling_tick();
         }
         self.expire_requests(actions);
-        self.timers.reset_blocked();
+        self.timers.reset_next_evaluation();
         self.cancel_overdue_attempts(actions);
         self.dispatch(actions);
         self.shed_load(actions);
--- a/src/scheduler/pending_requests.rs
+++ b/src/scheduler/pending_requests.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// Where a request stands.
+/// Whether a request is in a node queue, has left it, or is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum RequestState {
+pub(super) enum QueueState {
     /// In a node queue.
     Queued,
     /// Out of the node queue: an attempt is in flight, or its end is being handled.
@@ -29,7 +29,7 @@
     pub(super) ordered_extent: Option<ExtentId>,
     /// The shard in whose node queue it is or was.
     pub(super) shard: ShardId,
-    pub(super) state: RequestState,
+    pub(super) state: QueueState,
     /// Its random sample in [0, 1), by which heads that know nothing of each other share a node.
     pub(super) sample: f64,
     pub(super) attempts: Attempts,
@@ -38,7 +38,7 @@
 impl PendingRequest {
     /// Whether it was answered or its client is gone.
     pub(super) fn is_completed(&self) -> bool {
-        self.state == RequestState::Completed
+        self.state == QueueState::Completed
     }
 
     /// Whether it was sent before.
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -13,7 +13,7 @@
     /// When the wake-up that was asked for is due; infinity for none.
     wake_up_at: f64,
     /// The earliest moment at which a queued request that can't be sent now has to be evaluated again.
-    blocked_until: f64,
+    next_evaluation_at: f64,
 }
 
 impl Timers {
@@ -22,7 +22,7 @@
         Timers {
             next_tick_at: now + SAMPLING_TICK_S,
             wake_up_at: f64::INFINITY,
-            blocked_until: f64::INFINITY,
+            next_evaluation_at: f64::INFINITY,
         }
     }
 
@@ -35,14 +35,14 @@
         is_due
     }
 
-    /// Starts a new evaluation of what is queued.
-    pub(super) fn reset_blocked(&mut self) {
-        self.blocked_until = f64::INFINITY;
+    /// Forgets when to evaluate again, at the start of a new evaluation of all queued requests.
+    pub(super) fn reset_next_evaluation(&mut self) {
+        self.next_evaluation_at = f64::INFINITY;
     }
 
     /// Notes that a queued request has to be evaluated again at `at`.
-    pub(super) fn block_until(&mut self, at: f64) {
-        self.blocked_until = self.blocked_until.min(at);
+    pub(super) fn evaluate_again_at(&mut self, at: f64) {
+        self.next_evaluation_at = self.next_evaluation_at.min(at);
     }
 
     /// The wake-up that was asked for has come.
@@ -59,7 +59,7 @@
         tick_s: f64,
         actions: &mut Vec<Action>,
     ) {
-        let due_at = self.next_tick_at.min(other_due_at).min(self.blocked_until);
+        let due_at = self.next_tick_at.min(other_due_at).min(self.next_evaluation_at);
         let due_at = due_at.max(now + tick_s.max(MIN_DELAY_S));
         if due_at < self.wake_up_at {
             self.wake_up_at = due_at;
