--- a/crates/load-shedding/src/evaluation_window.rs
+++ b/crates/load-shedding/src/evaluation_window.rs
@@ -32,8 +32,8 @@
 }
 
 impl EvaluationWindow {
-    /// Creates an empty window of `length_s` seconds that needs `min_results` evaluations: a caller that stood still
-    /// for the length of the window has gathered no evidence.
+    /// Creates an empty window of `length_s` seconds that needs `min_results` evaluations: a caller that was
+    /// suspended for the length of the window has gathered too little evidence.
     pub fn new(length_s: f64, min_results: usize) -> EvaluationWindow {
         EvaluationWindow { length_s, min_results, results: VecDeque::new(), holding: 0, last_known_at: None }
     }
--- a/crates/load-shedding/src/level_state.rs
+++ b/crates/load-shedding/src/level_state.rs
@@ -1,9 +1,9 @@
 //! The level of one scope. A level is entered by evidence over a window, lasts for its minimum duration at least, and
 //! is left one step at a time; a step down that brings the load back doubles the next minimum duration.
 //!
-//! Transitions are limited: a level is entered only where the steps down from it still fit the limit, and the last
-//! step down waits while the limit leaves no room to return. The mildest level costs little while nothing presses; a
-//! head that may not return to it costs more.
+//! Transitions are limited: a level is entered only where the steps down from it still fit the limit. The scope stays
+//! at level 1 until the transition limit allows another entry after the step down to `normal`: staying at the mildest
+//! level without need sheds little, while a scope that can't enter any level during an overload sheds nothing.
 
 use crate::evaluation_window::{ConditionResult, EvaluationWindow};
 use crate::level_override::{LevelOverride, OperatorNote};
@@ -81,7 +81,8 @@
 impl LevelState {
     /// Starts at `normal`.
     pub fn new(policy: EscalationPolicy, now: f64) -> LevelState {
-        // Half of the evaluations that fit the window: fewer mean that the caller stood still.
+        // Half of the evaluations that fit the window: with fewer, the caller was suspended or delayed for part of it,
+        // and what it recorded is too little evidence.
         let min_results = (policy.window_s / policy.period_s / 2.0).max(1.0) as usize;
         let empty = EvaluationWindow::new(policy.window_s, min_results);
         let windows = LevelWindows { enter: empty.clone(), leave: empty };
@@ -238,6 +239,7 @@
         // At this very evaluation none may be past its threshold: the window is what counts.
         let first = || conditions.first().map(|condition| (condition, condition.threshold));
         match worst.or_else(first) {
+            // Can't occur: a level without conditions never breaches one, so it is never entered by readings.
             None => TransitionReason::Initial,
             Some((condition, value)) => TransitionReason::ThresholdBreached {
                 signal: condition.name.clone(),
@@ -249,15 +251,15 @@
     }
 
     /// Sets the minimum duration of a level that is about to be entered: twice that of the level left last if this
-    /// is a relapse, else as settled.
+    /// is a relapse, else as configured.
     fn update_min_duration(&mut self, now: f64, level: usize) {
-        let settled = self.policy.levels[level - 1].min_duration_s;
+        let configured_s = self.policy.levels[level - 1].min_duration_s;
         self.min_durations[level - 1] = match self.relapsed_from(now) {
             Some(from_level) => {
                 let doubled = RELAPSE_FACTOR * self.min_durations[from_level - 1];
-                doubled.min(self.policy.max_min_duration_s).max(settled)
+                doubled.min(self.policy.max_min_duration_s).max(configured_s)
             }
-            None => settled,
+            None => configured_s,
         };
     }
 
@@ -276,7 +278,8 @@
             return None;
         }
         let reason = if self.has_evidence(&self.windows[index].leave, now) {
-            // Without readings nothing tells that the mildest level costs little, so that only this reason waits.
+            // Only a recovery waits for the limit: the load is known to be low, so that level 1 sheds little.
+            // Without readings it might shed much, for no known reason.
             if self.waits_for_transition_limit() {
                 return None;
             }
@@ -422,9 +425,9 @@
         });
         self.transition_limit.restore(saved.counted_transitions.iter().map(|at| at.min(now)));
         for (level, min_duration) in self.policy.levels.iter().zip(&mut self.min_durations) {
-            let settled = level.min_duration_s;
-            let known = saved.min_durations.get(&level.name).copied().unwrap_or(settled);
-            *min_duration = known.clamp(settled, self.policy.max_min_duration_s.max(settled));
+            let configured_s = level.min_duration_s;
+            let known = saved.min_durations.get(&level.name).copied().unwrap_or(configured_s);
+            *min_duration = known.clamp(configured_s, self.policy.max_min_duration_s.max(configured_s));
         }
     }
 }
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -2,7 +2,14 @@
 //! started, so that all heads together stay under the load that makes it fail.
 //!
 //! A head works from the units that were due to it at the node before, and from the node's latency, which shows the
-//! load of all heads. Time is an argument, in seconds; sizes are in units.
+//! load of all heads:
+//!
+//! - *Due* units are those of requests that were inside their volume's reserve at arrival, and those of other requests
+//!   that the node served. Their rate is what this head needs of the node, and the base of its allowance.
+//! - The *allowance factor* is by how much this head may exceed that base: each fast answer of the node raises it, a
+//!   slow one lowers it, a failure resets it to 1.
+//!
+//! Time is an argument, in seconds; sizes are in units.
 
 mod decaying_rate;
 
@@ -48,10 +55,10 @@
 const USED_FRACTION: f64 = 0.75;
 /// Factor by which a fast answer of the node raises this head's allowance, and a slow one lowers it. The node's
 /// backlog at most doubles within one round of answers, and each of those has to be fast.
-const TRUST_STEP: f64 = 2.0;
-/// Upper bound of the trust: past it, trust would be lost too slowly. The allowance of a thousand heads is then the
-/// complete guarantee.
-const MAX_TRUST: f64 = 1024.0;
+const ALLOWANCE_FACTOR_STEP: f64 = 2.0;
+/// Upper bound of the allowance factor: a higher one would take too many slow answers to undo. The allowance of a
+/// thousand heads is then the complete guarantee.
+const MAX_ALLOWANCE_FACTOR: f64 = 1024.0;
 
 /// How soon an answer came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,7 +94,7 @@
 pub struct WaitingRequest {
     /// Its size.
     pub units: f64,
-    /// Whether it is due to this head: inside a reserve.
+    /// Whether it was inside its volume's reserve at arrival.
     pub is_due: bool,
     /// Its random sample, in [0, 1).
     pub sample: f64,
@@ -96,12 +103,12 @@
 /// One head's view of the node that serves one shard, through the nodes that serve it one after the other.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// What is due to this head at the shard.
+    /// Rate of the units due to this head at the shard.
     due: DecayingRate,
     /// The same when the node started, in units a second.
     due_at_start: f64,
     /// Factor on this head's allowance that the node's fast answers have earned.
-    trust: f64,
+    allowance_factor: f64,
     /// Token bucket: units saved up; below 0, units sent ahead. `None` before the first request.
     tokens: Option<f64>,
     /// When the tokens were counted.
@@ -118,13 +125,14 @@
     /// The view of a shard that this head first hears of. What was due fades within the time in which nodes warm up.
     pub fn new(warm_up_s: f64, now: f64) -> SlowStart {
         let due = DecayingRate::new(warm_up_s, now);
-        SlowStart { due, due_at_start: 0.0, trust: 1.0, tokens: None, tokens_at: now }
+        SlowStart { due, due_at_start: 0.0, allowance_factor: 1.0, tokens: None, tokens_at: now }
     }
 
     /// Records that another node serves the shard now, or the same one after a restart.
     pub fn record_node_start(&mut self, now: f64) {
         let due_at_start = self.due.per_second(now);
-        *self = SlowStart { due: self.due, due_at_start, trust: 1.0, tokens: None, tokens_at: now };
+        *self =
+            SlowStart { due: self.due, due_at_start, allowance_factor: 1.0, tokens: None, tokens_at: now };
     }
 
     /// Records units that were due to this head: inside a reserve when they arrived, or served.
@@ -134,16 +142,16 @@
 
     /// Records an answer of the node.
     pub fn record_answer(&mut self, speed: AnswerSpeed) {
-        self.trust = match speed {
-            AnswerSpeed::Fast => (self.trust * TRUST_STEP).min(MAX_TRUST),
-            AnswerSpeed::Normal => self.trust,
-            AnswerSpeed::Slow => (self.trust / TRUST_STEP).max(1.0),
+        self.allowance_factor = match speed {
+            AnswerSpeed::Fast => (self.allowance_factor * ALLOWANCE_FACTOR_STEP).min(MAX_ALLOWANCE_FACTOR),
+            AnswerSpeed::Normal => self.allowance_factor,
+            AnswerSpeed::Slow => (self.allowance_factor / ALLOWANCE_FACTOR_STEP).max(1.0),
         };
     }
 
     /// Records that the node rejected a request, or broke a connection.
     pub fn record_failure(&mut self) {
-        self.trust = 1.0;
+        self.allowance_factor = 1.0;
     }
 
     /// Records a request that was sent to the node.
@@ -171,15 +179,15 @@
         if node.is_slow {
             return Some(own_rate);
         }
-        Some(own_rate.max(guaranteed_rate.min(own_rate * self.trust)))
+        Some(own_rate.max(guaranteed_rate.min(own_rate * self.allowance_factor)))
     }
 
     /// Seconds until a request may go at this rate; 0 if it may go now.
     ///
     /// Tokens are saved up to a complete request, and the first level is random, or all heads would send at once. A
-    /// head whose allowance is under one request would save it for one that seldom comes: so what is due goes ahead
-    /// of the allowance with the probability that the allowance is of all that is due. Over all heads no more is
-    /// due than the node's plans promise.
+    /// head with a low rate would save tokens for a request that seldom comes. So a reserved request is sent before its
+    /// tokens are saved with probability `rate / due_rate`, at most 1, by its `sample`; its tokens are then owed, and
+    /// what follows waits until the debt is paid. Over all heads no more is reserved than the node's plans promise.
     pub fn wait_s(
         &mut self,
         settings: &SlowStartSettings,
@@ -195,8 +203,8 @@
         };
         self.tokens = Some(tokens);
         self.tokens_at = now;
-        let goes_ahead = is_due && sample * self.due_rate(now) < rate;
-        let needed_units = if goes_ahead { 0.0 } else { units };
+        let is_sent_early = is_due && sample * self.due_rate(now) < rate;
+        let needed_units = if is_sent_early { 0.0 } else { units };
         (needed_units - tokens).max(0.0) / rate
     }
 
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -69,6 +69,7 @@
         parts.lifecycle.connections_closed().await;
     };
     tokio::select! {
+        // Never: `listen` does not return.
         () = server.listen() => {}
         () = sleep_until(schedule.close_connections_at) => {}
         () = all_closed => {}
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -93,7 +93,8 @@
         self.parts.descriptors.set_limit(config.limits.descriptors());
         self.parts.memory.set_limit(config.limits.memory_mb);
         if self.parts.shedding.configure(shedding) {
-            // The new monitor has no node's state yet: the directory reports it again.
+            // The exclusions have not changed. A new monitor knows no node's state yet, and this call has the
+            // directory report all nodes again.
             self.parts.directory.on_exclusions_changed();
         }
         log::info!("daemon: reloaded, discovery at {}", config.discovery);
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -4,7 +4,7 @@
 use super::endpoint_list::{EndpointListSource, follow_endpoint_list};
 use super::error::{BackgroundTask, DaemonError};
 use super::reload::Reloader;
-use super::signals::{Request, Signals};
+use super::signals::{SignalCommand, Signals};
 use crate::frontend::http::HttpFrontend;
 use crate::lifecycle::Phase;
 use crate::node::NodeTransport;
@@ -21,13 +21,13 @@
 }
 
 impl Server {
-    /// Accepts clients for as long as it is polled.
+    /// Accepts clients for as long as it is polled; never returns.
     pub(super) async fn listen(&self) {
         self.frontend.clone().listen(&self.listener).await;
     }
 }
 
-/// The tasks without which the head would only look alive.
+/// The tasks without which the head can't serve: the program ends if one of them does while it serves.
 pub(super) struct BackgroundTasks {
     scheduler_clock: JoinHandle<()>,
     load_shedding: JoinHandle<()>,
@@ -88,6 +88,7 @@
     endpoint_list: JoinHandle<()>,
 ) -> Result<(), DaemonError> {
     tokio::select! {
+        // Never: `listen` does not return.
         () = server.listen() => Ok(()),
         () = handle_signals(signals, reloader) => Ok(()),
         task = tasks.first_end(endpoint_list) => Err(DaemonError::TaskEnded(task)),
@@ -98,9 +99,9 @@
 async fn handle_signals(signals: &mut Signals, reloader: &Reloader) {
     loop {
         match signals.next().await {
-            Request::Shutdown => return,
-            Request::Reload => reloader.reload(),
-            Request::LogCounters => log::info!("counters: {}", reloader.parts.counters),
+            SignalCommand::Shutdown => return,
+            SignalCommand::Reload => reloader.reload(),
+            SignalCommand::LogCounters => log::info!("counters: {}", reloader.parts.counters),
         }
     }
 }
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -5,7 +5,7 @@
 
 /// What a signal asks the program to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Request {
+pub(super) enum SignalCommand {
     /// SIGTERM or SIGINT: drain and end.
     Shutdown,
     /// SIGHUP: read the configuration again.
@@ -40,12 +40,12 @@
     }
 
     /// Waits for the next signal.
-    pub(super) async fn next(&mut self) -> Request {
+    pub(super) async fn next(&mut self) -> SignalCommand {
         tokio::select! {
-            _ = self.terminate.recv() => Request::Shutdown,
-            _ = self.interrupt.recv() => Request::Shutdown,
-            _ = self.hangup.recv() => Request::Reload,
-            _ = self.user_defined_1.recv() => Request::LogCounters,
+            _ = self.terminate.recv() => SignalCommand::Shutdown,
+            _ = self.interrupt.recv() => SignalCommand::Shutdown,
+            _ = self.hangup.recv() => SignalCommand::Reload,
+            _ = self.user_defined_1.recv() => SignalCommand::LogCounters,
         }
     }
 }
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -10,7 +10,7 @@
 /// A message to the other process of this head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Message {
-    /// The older process's greeting, which carries its listening sockets.
+    /// The older process's first message, which carries its listening sockets.
     Sockets,
     /// The sender accepts connections from now on.
     Ready,
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -235,7 +235,7 @@
 
     fn handle_message(&self, message: Message) {
         match message {
-            Message::Sockets => log::debug!("handover: a greeting after the first, ignored"),
+            Message::Sockets => log::debug!("handover: a second sockets message, ignored"),
             Message::Ready => self.update(OtherProcesses::peer_is_ready),
             Message::ExclusionsChanged => {
                 self.shared.exclusions.reload();
--- a/src/handover/socket_passing.rs
+++ b/src/handover/socket_passing.rs
@@ -15,7 +15,7 @@
 /// Most sockets that are passed: one for each frontend that clients use.
 const MAX_SOCKETS: usize = 3;
 
-/// Sends listening sockets with the greeting.
+/// Sends a sockets message, with the listening sockets as its ancillary data.
 pub(super) async fn send_sockets(stream: &UnixStream, sockets: &[Rc<TcpListener>]) -> io::Result<()> {
     let descriptors: Vec<BorrowedFd> = sockets.iter().map(|socket| socket.as_fd()).collect();
     stream.async_io(Interest::WRITABLE, || send_descriptors(stream, &descriptors)).await
@@ -25,12 +25,12 @@
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
     ancillary.push(SendAncillaryMessage::ScmRights(descriptors));
-    let greeting = IoSlice::new(Message::Sockets.encode());
-    sendmsg(stream, &[greeting], &mut ancillary, SendFlags::NOSIGNAL)?;
+    let text = IoSlice::new(Message::Sockets.encode());
+    sendmsg(stream, &[text], &mut ancillary, SendFlags::NOSIGNAL)?;
     Ok(())
 }
 
-/// Receives the listening sockets that come with the greeting.
+/// Receives a sockets message and returns the listening sockets that it carries.
 pub(super) async fn receive_sockets(stream: &UnixStream) -> io::Result<Vec<std::net::TcpListener>> {
     let descriptors = stream.async_io(Interest::READABLE, || receive_descriptors(stream)).await?;
     let mut sockets = Vec::with_capacity(descriptors.len());
@@ -43,10 +43,10 @@
 }
 
 fn receive_descriptors(stream: &UnixStream) -> io::Result<Vec<OwnedFd>> {
-    let mut greeting = [0; Message::Sockets.encode().len()];
+    let mut text = [0; Message::Sockets.encode().len()];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
-    let mut parts = [IoSliceMut::new(&mut greeting)];
+    let mut parts = [IoSliceMut::new(&mut text)];
     let received = recvmsg(stream, &mut parts, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
     if received.bytes == 0 {
         return Err(io::ErrorKind::UnexpectedEof.into());
