--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -238,7 +238,7 @@
     fn report_unreadable(&self, list: &CompactList) {
         let count = list.unreadable.len();
         for entry in list.unreadable.iter().take(MAX_LOGGED_ENTRIES) {
-            log::warn!("discovery: entry can't be read, version={}, error={entry}", list.version);
+            log::warn!("discovery: entry can't be read, version {}, {entry}", list.version);
         }
         if count > MAX_LOGGED_ENTRIES {
             let more = count - MAX_LOGGED_ENTRIES;
