--- a/crates/distribution/src/replica/mod.rs
+++ b/crates/distribution/src/replica/mod.rs
@@ -219,6 +219,10 @@
     }
 
     /// Applies a list from upstream, and appends one record of what it changes.
+    ///
+    /// # Errors
+    ///
+    /// The entries that changed can't be written as JSON for the watchers.
     pub fn apply(&mut self, list: EndpointList, now: f64) -> Result<Applied, ReplicaError> {
         self.renew_lease(now);
         let received = ReceivedList::new(&list);
@@ -324,6 +328,10 @@
     }
 
     /// The complete list as one line, encoded when it is first asked for and shared until the replica changes.
+    ///
+    /// # Errors
+    ///
+    /// The list can't be written as JSON.
     pub fn snapshot(&mut self) -> Result<Bytes, ReplicaError> {
         if let Some(text) = &self.snapshot {
             return Ok(text.clone());
--- a/crates/distribution/src/selection/mod.rs
+++ b/crates/distribution/src/selection/mod.rs
@@ -61,6 +61,10 @@
 
 impl Selection {
     /// A head without a relay yet, with the default timing. The seed spreads its delays from those of other heads.
+    ///
+    /// # Errors
+    ///
+    /// A relay has no name, or two relays have the same name or address.
     pub fn new(
         head_name: &str,
         locality: &Locality,
@@ -99,6 +103,10 @@
     }
 
     /// Replaces the list of relays. Watches on relays with the same name and address stay; the others are closed.
+    ///
+    /// # Errors
+    ///
+    /// A relay has no name, or two relays have the same name or address. The previous list stays in use.
     pub fn replace_relays(
         &mut self,
         relays: Vec<RelayInfo>,
--- a/crates/distribution/src/selection/relay_list.rs
+++ b/crates/distribution/src/selection/relay_list.rs
@@ -54,6 +54,10 @@
 }
 
 /// Checks that each relay has a name and an address of its own. An empty list is valid: its heads have no relay.
+///
+/// # Errors
+///
+/// A relay has no name, or two relays have the same name or address.
 pub fn validate(relays: &[RelayInfo]) -> Result<(), RelayListError> {
     let mut names = HashSet::new();
     let mut addresses = HashSet::new();
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -144,6 +144,10 @@
 
     /// The complete list, once its request was admitted; the watch follows the log after it. `None` if the replica is not
     /// current, or of another generation: this request is finished, and [`Watcher::poll`] returns what is needed.
+    ///
+    /// # Errors
+    ///
+    /// The list can't be written as JSON.
     pub fn take_snapshot(&mut self, replica: &mut Replica, now: f64) -> Result<Option<Bytes>, ReplicaError> {
         if replica.generation() != self.generation || replica.status(now) != ReplicaStatus::Current {
             self.state = WatchState::SnapshotNeeded;
--- a/crates/lab/benches/module.rs
+++ b/crates/lab/benches/module.rs
@@ -8,8 +8,8 @@
 
 use flaxgap::scheduler::{
     Action, AttemptOutcome, Class, ClassId, Endpoint, Event, Idempotency, IoRequest, LoadReport, NodeId,
-    NodeState, Plan, PlanId, RateLimit, RequestId, RetryBudget, SchedulerSettings, ShardId,
-    SlowStartSettings, UpdateKind, VolumeId, ZoneId,
+    NodeState, OptionalMechanisms, Plan, PlanId, RateLimit, RequestId, RetryBudget, SchedulerSettings,
+    ShardId, SlowStartSettings, UpdateKind, VolumeId, ZoneId,
 };
 use std::hint::black_box;
 use std::time::Instant;
@@ -78,9 +78,7 @@
         tick_s: 0.002,
         max_pending: 4000,
         max_attempts: 3,
-        hedging: false,
-        cancellation: true,
-        health_checks: false,
+        mechanisms: OptionalMechanisms { hedging: false, cancellation: true, health_checks: false },
         load_reports_in_answers: true,
         usage_period_s: 0.0,
         reports_usage_elsewhere: false,
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -2,7 +2,8 @@
 //! ranges of a small broadcaster's site.
 
 use flaxgap::scheduler::{
-    Class, DeduplicationScope, Idempotency, Plan, RateLimit, SchedulerSettings, SlowStartSettings,
+    Class, DeduplicationScope, Idempotency, OptionalMechanisms, Plan, RateLimit, SchedulerSettings,
+    SlowStartSettings,
 };
 use flaxgap_load_shedding::Names;
 use rand::{Rng, SeedableRng};
@@ -195,9 +196,7 @@
         tick_s: 0.004,
         max_pending: size.held,
         max_attempts: 3,
-        hedging: false,
-        cancellation: true,
-        health_checks: false,
+        mechanisms: OptionalMechanisms { hedging: false, cancellation: true, health_checks: false },
         load_reports_in_answers: true,
         usage_period_s: 1.0,
         reports_usage_elsewhere: false,
--- a/crates/lab/src/guard.rs
+++ b/crates/lab/src/guard.rs
@@ -137,6 +137,10 @@
 }
 
 /// Plays a case.
+///
+/// # Errors
+///
+/// The case has settings that a scheduler or the arrival process can't work with, or nothing was played.
 pub fn play(case: &Case) -> Result<Played, String> {
     play::play(case)
 }
@@ -192,6 +196,10 @@
 const STRONG: f64 = 3.0;
 
 /// Plays all cases of a plan, on all cores.
+///
+/// # Errors
+///
+/// A case of the plan can't be played, as for [`play`].
 pub fn rows(plan: &Plan) -> Result<Vec<Row>, String> {
     let mut rows = Vec::new();
     for decisions in &plan.decisions {
--- a/crates/lab/src/guard/heads.rs
+++ b/crates/lab/src/guard/heads.rs
@@ -6,7 +6,8 @@
 use flaxgap::Scheduler;
 use flaxgap::scheduler::{
     Action, AttemptOutcome, Class, ClassId, Endpoint, Event, ExtentId, Idempotency, LoadReport, NodeId,
-    NodeState, Plan, PlanId, RequestId, SchedulerSettings, ShardId, UpdateKind, VolumeId, ZoneId,
+    NodeState, OptionalMechanisms, Plan, PlanId, RequestId, SchedulerSettings, ShardId, UpdateKind, VolumeId,
+    ZoneId,
 };
 use flaxgap_slow_start::{AnswerSpeed, NodeCondition, SenderShare, SlowStart, WaitingRequest};
 use rand::{Rng, SeedableRng};
@@ -217,9 +218,7 @@
         tick_s: 0.002,
         max_pending: 4096,
         max_attempts: 3,
-        hedging: false,
-        cancellation: true,
-        health_checks: false,
+        mechanisms: OptionalMechanisms { hedging: false, cancellation: true, health_checks: false },
         load_reports_in_answers: true,
         usage_period_s: 0.0,
         reports_usage_elsewhere: false,
--- a/crates/lab/src/guard/table.rs
+++ b/crates/lab/src/guard/table.rs
@@ -88,6 +88,10 @@
 }
 
 /// Plays what is asked for and prints it.
+///
+/// # Errors
+///
+/// A case of the plan can't be played, as for [`play`](super::play).
 pub fn run(args: &Args) -> Result<(), String> {
     let heads = f64::from(args.heads);
     let (usual, most) = (args.usual().senders(heads), args.most().senders(heads));
--- a/crates/lab/src/levels.rs
+++ b/crates/lab/src/levels.rs
@@ -300,6 +300,10 @@
 }
 
 /// Plays one day in all three ways.
+///
+/// # Errors
+///
+/// The head's level can't be entered by met objectives, or the scheduler rejects its settings.
 pub fn row(drive: Drive, plan: Plan, settings: &SheddingSettings, seed: u64) -> Result<Row, String> {
     let staged = stage(drive, plan, settings, seed)?;
     let started = std::time::Instant::now();
@@ -329,6 +333,10 @@
 }
 
 /// All drives on all seeds, over all cores; the rows in the order of drives, then seeds.
+///
+/// # Errors
+///
+/// A day can't be played, as for [`row`].
 pub fn rows(plan: Plan, settings: &SheddingSettings, seeds: &[u64]) -> Result<Vec<Row>, String> {
     let mut drives: Vec<Drive> = (0..settings.head.levels.len()).map(Drive::Entry).collect();
     drives.extend([Drive::Cut, Drive::BusyCut, Drive::Lag, Drive::Surge]);
@@ -444,6 +452,10 @@
 }
 
 /// Each safeguard left out, on the days around the entries of the head's levels.
+///
+/// # Errors
+///
+/// A head's level can't be entered by met objectives, or the scheduler rejects its settings.
 pub fn ablations(plan: Plan, settings: &SheddingSettings, seeds: &[u64]) -> Result<Vec<Ablated>, String> {
     let drives: Vec<Drive> = (0..settings.head.levels.len()).map(Drive::Entry).collect();
     let staged: Vec<(Staged, u64)> = with_seeds(&drives, seeds)
@@ -493,6 +505,11 @@
 }
 
 /// Sets one head of several to its highest level, the others shed nothing.
+///
+/// # Errors
+///
+/// The first level can't be entered by met objectives, or the scheduler rejects its settings or the level manager the
+/// override.
 pub fn one_head(plan: Plan, settings: &SheddingSettings, seed: u64) -> Result<OneHeadOverride, String> {
     let staged = stage(Drive::Entry(0), plan, settings, seed)?;
     let level = settings.head.levels.last().ok_or("no levels")?.name.clone();
--- a/crates/lab/src/scale/chart.rs
+++ b/crates/lab/src/scale/chart.rs
@@ -44,6 +44,10 @@
 }
 
 /// Draws the chart into a file.
+///
+/// # Errors
+///
+/// The chart can't be drawn, or its file can't be written.
 pub fn draw(runs: &[Run], path: &Path) -> Result<(), ScaleError> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     let failed = |problem: String| ScaleError::Chart(format!("{}: {problem}", path.display()));
--- a/crates/lab/src/scale/children.rs
+++ b/crates/lab/src/scale/children.rs
@@ -50,6 +50,10 @@
 }
 
 /// The program of a name: as given, or else beside the tool's own.
+///
+/// # Errors
+///
+/// There is no file at the path.
 pub fn program(
     given: Option<&Path>,
     name: &'static str,
@@ -70,6 +74,10 @@
 
 impl<Reply: DeserializeOwned + 'static> Child<Reply> {
     /// Starts one. What `unasked` takes is no reply to an order.
+    ///
+    /// # Errors
+    ///
+    /// The process can't be started, or it has no pipes.
     pub fn start(
         role: Role,
         name: String,
@@ -106,6 +114,10 @@
     }
 
     /// Gives an order that has no reply.
+    ///
+    /// # Errors
+    ///
+    /// The order can't be written as JSON, or the process has closed its input.
     pub async fn tell(&mut self, order: &impl Serialize) -> Result<(), ChildError> {
         let mut line = serde_json::to_vec(order)?;
         line.push(b'\n');
@@ -117,6 +129,10 @@
     }
 
     /// Waits for the next reply.
+    ///
+    /// # Errors
+    ///
+    /// The process has closed its output, or does not reply within the longest time for it.
     pub async fn reply(&mut self) -> Result<Reply, ChildError> {
         match timeout(LONGEST_REPLY, self.replies.recv()).await {
             Ok(Some(reply)) => Ok(reply),
@@ -126,6 +142,10 @@
     }
 
     /// Gives an order and waits for its reply.
+    ///
+    /// # Errors
+    ///
+    /// The order can't be given, or no reply comes, as for [`Child::tell`] and [`Child::reply`].
     pub async fn ask(&mut self, order: &impl Serialize) -> Result<Reply, ChildError> {
         self.tell(order).await?;
         self.reply().await
@@ -153,6 +173,10 @@
 
 impl Server {
     /// Starts a program and waits until a line of its log ends `mark` with its address.
+    ///
+    /// # Errors
+    ///
+    /// The program can't be started, or it ends or logs no address within the longest time for a start.
     pub async fn start(name: String, mut command: Command, mark: &str) -> Result<Server, ChildError> {
         command.kill_on_drop(true).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let failed = |problem| ChildError::Start(name.clone(), problem);
@@ -179,6 +203,10 @@
     }
 
     /// Its process.
+    ///
+    /// # Errors
+    ///
+    /// The process has ended.
     pub fn id(&self) -> Result<u32, ChildError> {
         let ended = || ChildError::Ended(self.name.clone(), "its process is gone".into());
         self.process.id().ok_or_else(ended)
--- a/crates/lab/src/scale/discovery.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -117,6 +117,10 @@
 }
 
 /// Runs until the input ends.
+///
+/// # Errors
+///
+/// An order can't be read, comes before the run begins, or can't be carried out.
 pub async fn run() -> Result<(), ScaleError> {
     let mut lines = BufReader::new(stdin()).lines();
     let mut discovery: Option<Rc<Discovery>> = None;
--- a/crates/lab/src/scale/events.rs
+++ b/crates/lab/src/scale/events.rs
@@ -154,6 +154,10 @@
 
 impl Player<'_> {
     /// Plays all of them but the ordinary day.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet can't be started, does not reply, or is not ready in time.
     pub async fn play(&mut self) -> Result<(), ScaleError> {
         self.one_node_drains().await?;
         self.one_node_is_replaced().await?;
@@ -291,6 +295,10 @@
     }
 
     /// The ordinary day's changes, faster: versions at an even pace, each of a kind drawn as often as the day has it.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet has ended, or does not reply as expected.
     pub async fn ordinary_day(&mut self) -> Result<(), ScaleError> {
         self.fleet.says("an ordinary day's changes, faster");
         let waits = self.fleet.waits;
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -41,6 +41,10 @@
 
 impl Plane {
     /// Fits one by least squares; it takes at least four points, off one line.
+    ///
+    /// # Errors
+    ///
+    /// The regression has no solution, for example because there are too few points.
     pub fn fit(points: &[Point]) -> Result<Plane, linregress::Error> {
         let column = |of: fn(&Point) -> f64| points.iter().map(of).collect::<Vec<f64>>();
         let data = vec![
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -3,7 +3,10 @@
 use super::ScaleError;
 use super::args::{Role, ScaleArgs};
 use super::children::{Child, program};
-use super::message::*;
+use super::message::{
+    DiscoveryOrder, DiscoveryReply, ListState, Micros, Progress, Served, StartsWith, Traffic, WorkerOrder,
+    WorkerReply,
+};
 use super::nodes::{NodeRecord, NodeTable, REGIONS};
 use super::real::{RealHead, RealPlan, RealSample};
 use super::relays::{Relay, RelayPlace};
@@ -91,6 +94,10 @@
 impl Fleet {
     /// Starts all of it and waits until every head has heard of discovery. The fleet's first heads start as after a
     /// night's work: with the list as they had it last.
+    ///
+    /// # Errors
+    ///
+    /// A program is missing, or a process of the fleet can't be started, does not reply, or is not ready in time.
     pub async fn start(args: &ScaleArgs, waits: Waits) -> Result<Fleet, ScaleError> {
         let real_program =
             (args.real > 0).then(|| program(args.head.as_deref(), "flaxgap", "head")).transpose()?;
@@ -180,6 +187,10 @@
     }
 
     /// Starts hollow heads.
+    ///
+    /// # Errors
+    ///
+    /// A worker process has ended.
     pub async fn start_heads(&mut self, heads: &[u32], with: StartsWith) -> Result<(), ScaleError> {
         let parts = self.by_worker(heads);
         for (worker, heads) in self.workers.iter_mut().zip(parts) {
@@ -192,6 +203,10 @@
     }
 
     /// Ends hollow heads.
+    ///
+    /// # Errors
+    ///
+    /// A worker process has ended.
     pub async fn stop_heads(&mut self, heads: &[u32]) -> Result<(), ScaleError> {
         let parts = self.by_worker(heads);
         for (worker, heads) in self.workers.iter_mut().zip(parts) {
@@ -204,6 +219,10 @@
     }
 
     /// Publishes what has changed of the table as one version; gives that, and when it was out.
+    ///
+    /// # Errors
+    ///
+    /// The discovery process has ended, or does not reply as expected.
     pub async fn publish(&mut self, nodes: Vec<NodeRecord>) -> Result<(u64, Micros), ScaleError> {
         match self.discovery.ask(&DiscoveryOrder::Publish { nodes }).await? {
             DiscoveryReply::Published { version, at } => Ok((version, at)),
@@ -212,6 +231,10 @@
     }
 
     /// Cuts a region off from discovery, or mends the cut; gives when.
+    ///
+    /// # Errors
+    ///
+    /// The discovery process has ended, or does not reply as expected.
     pub async fn cut(&mut self, region: usize, off: bool) -> Result<Micros, ScaleError> {
         match self.discovery.ask(&DiscoveryOrder::Cut { region, off }).await? {
             DiscoveryReply::Cut { at } => Ok(at),
@@ -261,6 +284,10 @@
     }
 
     /// What all use now.
+    ///
+    /// # Errors
+    ///
+    /// A process has ended or does not reply as expected, or its usage can't be read.
     pub async fn sample(&mut self) -> Result<FleetSample, ScaleError> {
         let (mut workers, mut traffic) = (Vec::new(), Some(Traffic::default()));
         for worker in &mut self.workers {
@@ -288,6 +315,10 @@
     }
 
     /// When versions were in force, since this was asked last.
+    ///
+    /// # Errors
+    ///
+    /// A worker process has ended, or does not reply as expected.
     pub async fn in_force(&mut self) -> Result<InForce, ScaleError> {
         let mut all = InForce::default();
         for worker in &mut self.workers {
@@ -304,6 +335,10 @@
     }
 
     /// Hollow heads whose list is not as the table has it, at a version.
+    ///
+    /// # Errors
+    ///
+    /// A worker process has ended, or does not reply as expected.
     pub async fn astray(&mut self, version: u64) -> Result<usize, ScaleError> {
         let (known, excluded) = self.table.counts();
         let right = ListState { version, known, excluded };
@@ -319,6 +354,10 @@
     }
 
     /// Ends all of it and waits for the end.
+    ///
+    /// # Errors
+    ///
+    /// A relay's last sample can't be taken.
     pub async fn end(mut self) -> Result<(), ScaleError> {
         self.shown.finish_and_clear();
         for worker in &mut self.workers {
--- a/crates/lab/src/scale/grid.rs
+++ b/crates/lab/src/scale/grid.rs
@@ -53,6 +53,10 @@
 ];
 
 /// Plays all sizes and writes the table and the chart; gives the runs, the size left out at their end.
+///
+/// # Errors
+///
+/// A run fails, a figure can't be fitted, or the table or the chart can't be written.
 pub async fn play_all(args: &ScaleArgs) -> Result<Vec<Run>, ScaleError> {
     let mut sizes: Vec<(u32, u32)> = HEADS.iter().map(|heads| (*heads, NODES_THERE)).collect();
     sizes.extend(NODES.iter().map(|nodes| (HEADS_THERE, *nodes)));
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -58,6 +58,10 @@
 impl HollowHead {
     /// Starts the head of a number; `heard` is called with the newest version whenever a list
     /// is in force. With a `known` list it starts as a real head does with that of an earlier life.
+    ///
+    /// # Errors
+    ///
+    /// The scheduler rejects the settings.
     pub fn start(
         plan: &Plan,
         number: u32,
--- a/crates/lab/src/scale/http.rs
+++ b/crates/lab/src/scale/http.rs
@@ -39,6 +39,10 @@
 }
 
 /// The body that a path gives.
+///
+/// # Errors
+///
+/// The server can't be reached, breaks off, answers with another status than 200, or does not answer in time.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Bytes, HttpError> {
     let answer = timeout(LONGEST_CALL, exchange(address, path)).await;
     let answer = answer.unwrap_or(Err(Problem::Late));
--- a/crates/lab/src/scale/limits.rs
+++ b/crates/lab/src/scale/limits.rs
@@ -93,6 +93,10 @@
     }
 
     /// Whether the machine has that much.
+    ///
+    /// # Errors
+    ///
+    /// There are more processes, descriptors of one process, or memory needed than the machine grants.
     pub fn check(&self, descriptors: u64) -> Result<(), LimitsError> {
         if self.processes > MOST_PROCESSES {
             return Err(LimitsError::Processes { needed: self.processes });
@@ -123,6 +127,10 @@
 }
 
 /// Checks a run against this machine, before any other process is started.
+///
+/// # Errors
+///
+/// The machine has too little for the run, or the memory of a head can't be measured.
 pub async fn check(args: &ScaleArgs) -> Result<Needs, ScaleError> {
     let bare = Needs::of(args, 0);
     bare.check(descriptors())?;
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -80,6 +80,10 @@
 }
 
 /// The command as an operator gives it.
+///
+/// # Errors
+///
+/// The run fails, takes longer than its time limit, or is interrupted.
 pub fn main(args: &ScaleArgs) -> Result<(), ScaleError> {
     let limit = Duration::from_secs(args.time_limit);
     tokio::task::LocalSet::new().block_on(&runtime()?, async {
@@ -92,6 +96,10 @@
 }
 
 /// A child process of the tool, which takes orders on its standard input until that ends.
+///
+/// # Errors
+///
+/// The runtime can't be built, or an order can't be read or carried out.
 pub fn child(args: &RoleArgs) -> Result<(), ScaleError> {
     let local = tokio::task::LocalSet::new();
     match args.role {
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -62,6 +62,10 @@
 
 impl RealHead {
     /// Starts the head of a number and waits until it is in service.
+    ///
+    /// # Errors
+    ///
+    /// A configuration file can't be written, or the head can't be started or is not in service in time.
     pub async fn start(plan: &RealPlan<'_>, number: u32) -> Result<RealHead, ScaleError> {
         let configuration = plan.folder.join(format!("head-{number}.json"));
         let document = json!({
@@ -111,6 +115,10 @@
     }
 
     /// What it uses.
+    ///
+    /// # Errors
+    ///
+    /// The head has ended, its usage can't be read, or it does not serve its counters.
     pub async fn sample(&self) -> Result<RealSample, ScaleError> {
         let usage = Usage::of(self.server.id()?)?;
         let text = http::get(self.server.address, "/-/counters").await?;
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -90,6 +90,10 @@
 impl Relay {
     /// Starts the relay of a number and waits until it has the list. Each has an address of its own, as relays on
     /// machines of their own have.
+    ///
+    /// # Errors
+    ///
+    /// The configuration file can't be written, or the relay can't be started or has no list in time.
     pub async fn start(
         program: &Path,
         folder: &Path,
@@ -116,6 +120,10 @@
     }
 
     /// Ends it at once.
+    ///
+    /// # Errors
+    ///
+    /// Its last sample can't be taken; the relay then goes on.
     pub async fn kill(&mut self) -> Result<(), ScaleError> {
         self.ended = self.sample().await?;
         if let Some(mut server) = self.server.take() {
@@ -125,12 +133,20 @@
     }
 
     /// Starts it again, with nothing.
+    ///
+    /// # Errors
+    ///
+    /// The program can't be started, or it logs no address in time.
     pub async fn restart(&mut self) -> Result<(), ScaleError> {
         self.server = Some(launch(&self.program, &self.configuration, &self.place.name).await?);
         Ok(())
     }
 
     /// Waits until it serves the list.
+    ///
+    /// # Errors
+    ///
+    /// It serves no list within the longest time for a start.
     pub async fn ready(&self) -> Result<(), ScaleError> {
         let end = Instant::now() + LONGEST_START;
         while http::get(self.place.address, "/-/ready").await.is_err() {
@@ -143,6 +159,10 @@
     }
 
     /// What it uses and has served. It does not count messages: each change that it took in is one to each watcher.
+    ///
+    /// # Errors
+    ///
+    /// The relay has ended, its usage can't be read, or its counters can't be fetched or parsed.
     pub async fn sample(&self) -> Result<ControlSample, ScaleError> {
         let Some(server) = &self.server else { return Ok(self.ended) };
         let usage = Usage::of(server.id()?)?;
--- a/crates/lab/src/scale/run.rs
+++ b/crates/lab/src/scale/run.rs
@@ -13,6 +13,10 @@
 use tokio::time::{Instant, sleep};
 
 /// Plays what the command line says, and prints it.
+///
+/// # Errors
+///
+/// A run fails, or its results can't be written.
 pub async fn command(args: &ScaleArgs) -> Result<(), ScaleError> {
     if args.grid {
         let runs = grid::play_all(args).await?;
@@ -42,6 +46,10 @@
 }
 
 /// Plays one size.
+///
+/// # Errors
+///
+/// The machine's limits are too low, or a process of the fleet fails.
 pub async fn play(args: &ScaleArgs, waits: Waits) -> Result<Run, ScaleError> {
     let began = Instant::now();
     limits::check(args).await?;
--- a/crates/lab/src/scale/settings.rs
+++ b/crates/lab/src/scale/settings.rs
@@ -39,6 +39,10 @@
 }
 
 /// The settings as a hollow head takes them.
+///
+/// # Errors
+///
+/// The settings can't be served by a head.
 pub fn read(heads: u32) -> Result<(SchedulerSettings, WireSettings), ScaleError> {
     let text = document(heads).to_string();
     config::read(text.as_bytes()).map_err(|problem| ScaleError::Settings(problem.to_string()))
--- a/crates/lab/src/scale/storage.rs
+++ b/crates/lab/src/scale/storage.rs
@@ -29,6 +29,10 @@
 const LONGEST_ANSWER: Duration = Duration::from_secs(4);
 
 /// Starts the nodes; they serve as long as the tool runs.
+///
+/// # Errors
+///
+/// A socket can't be opened.
 pub async fn start_nodes() -> Result<Vec<SocketAddr>, ScaleError> {
     let mut addresses = Vec::new();
     for _ in 0..SERVING_NODES {
@@ -77,7 +81,7 @@
 }
 
 impl Client {
-    /// Starts one that sends a request every [`REQUEST_PAUSE`].
+    /// Starts one that sends a request every `REQUEST_PAUSE`.
     pub fn start(head: SocketAddr, number: usize) -> Client {
         let requests = Rc::new(Requests::default());
         let task = spawn_local(run(head, number, requests.clone()));
--- a/crates/lab/src/scale/usage.rs
+++ b/crates/lab/src/scale/usage.rs
@@ -35,6 +35,10 @@
 
 impl Usage {
     /// Reads the account of a process.
+    ///
+    /// # Errors
+    ///
+    /// There is no such process, or its account can't be read.
     pub fn of(id: u32) -> Result<Usage, UsageError> {
         let read = || {
             let process = Process::new(id as i32)?;
@@ -47,6 +51,10 @@
     }
 
     /// Reads this process's own account.
+    ///
+    /// # Errors
+    ///
+    /// The account can't be read.
     pub fn own() -> Result<Usage, UsageError> {
         Usage::of(std::process::id())
     }
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -2,7 +2,9 @@
 //! output, and ends when its input does.
 
 use super::hollow::{HollowHead, Plan};
-use super::message::*;
+use super::message::{
+    ListState, Micros, Progress, StartsWith, Traffic, VersionTimes, WorkerOrder, WorkerReply, now,
+};
 use super::usage::Usage;
 use super::{ScaleError, http, settings};
 use flaxgap_membership::compact::CompactList;
@@ -108,6 +110,10 @@
 }
 
 /// Runs until the input ends.
+///
+/// # Errors
+///
+/// An order can't be read, comes before the run begins, or can't be carried out, or this process's usage can't be read.
 pub async fn run() -> Result<(), ScaleError> {
     let before = Usage::own()?;
     let mut lines = BufReader::new(stdin()).lines();
@@ -130,6 +136,10 @@
 }
 
 /// Says something to the tool.
+///
+/// # Errors
+///
+/// The reply can't be written as JSON, or standard output can't be written to.
 pub fn say(reply: &impl serde::Serialize) -> Result<(), ScaleError> {
     use std::io::Write;
     let mut line = serde_json::to_vec(reply)?;
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -199,6 +199,10 @@
 }
 
 /// Plays a day.
+///
+/// # Errors
+///
+/// The scheduler rejects the fleet's settings, or the level manager the override of a pinned level.
 pub fn play(day: &Day<'_>, policy: &Policy) -> Result<Played, String> {
     let mut world = World::new(day, policy)?;
     world.run();
--- a/crates/load-shedding/src/level_manager.rs
+++ b/crates/load-shedding/src/level_manager.rs
@@ -218,6 +218,10 @@
     }
 
     /// The scope of a name: `head`, or a zone's.
+    ///
+    /// # Errors
+    ///
+    /// The name is neither `head` nor that of a known zone.
     pub fn scope(&self, name: &str) -> Result<Scope, OverrideError> {
         if name == HEAD_SCOPE {
             return Ok(Scope::Head);
--- a/crates/load-shedding/src/level_override.rs
+++ b/crates/load-shedding/src/level_override.rs
@@ -37,6 +37,10 @@
 
 impl OperatorNote {
     /// Checks that both texts are given and fit on a log line.
+    ///
+    /// # Errors
+    ///
+    /// A text is empty, too long, or has control characters.
     pub fn check(&self) -> Result<(), OverrideError> {
         check_text("who", &self.operator)?;
         check_text("why", &self.reason)
@@ -56,6 +60,10 @@
 
 impl OverrideRequest {
     /// Checks the texts and the duration; the level's name is checked against the scope's levels.
+    ///
+    /// # Errors
+    ///
+    /// A text is empty, too long or has control characters, or the duration is too short or too long.
     pub fn check(&self) -> Result<(), OverrideError> {
         self.note.check()?;
         if (MIN_OVERRIDE_S..=MAX_OVERRIDE_S).contains(&self.duration_s) {
--- a/crates/load-shedding/src/settings/mod.rs
+++ b/crates/load-shedding/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of load shedding, checked. [`file`] is their form in TOML, `check` and `check_level` turn it into
+//! The settings of load shedding, checked. [`mod@file`] is their form in TOML, `check` and `check_level` turn it into
 //! settings and tell what is wrong with line and key, `defaults` holds the levels that apply where a file has none.
 //! Nothing is taken from a file that is wrong anywhere.
 
@@ -204,6 +204,10 @@
 impl SheddingSettings {
     /// Checks a file's `[levels]` table; `text` is the whole file's, for the line numbers. `writes` tells which
     /// classes change data.
+    ///
+    /// # Errors
+    ///
+    /// A key has a value that can't be used; the error names the line.
     pub fn check(
         file: &LevelsFile,
         text: &str,
@@ -219,11 +223,19 @@
     }
 
     /// The settings of an empty table.
+    ///
+    /// # Errors
+    ///
+    /// The default levels can't be used with these names.
     pub fn with_defaults(names: &Names, writes: &[bool]) -> Result<SheddingSettings, SheddingSettingsError> {
         SheddingSettings::check(&LevelsFile::default(), "", names, writes)
     }
 
     /// Parses the text of a `[levels]` table.
+    ///
+    /// # Errors
+    ///
+    /// The text is not TOML of the expected form, or a key has a value that can't be used.
     pub fn parse(
         text: &str,
         names: &Names,
--- a/crates/streams/src/admission.rs
+++ b/crates/streams/src/admission.rs
@@ -54,6 +54,10 @@
     }
 
     /// A client opens a stream.
+    ///
+    /// # Errors
+    ///
+    /// The connection or all connections together have as many streams as they may have, or others would find none.
     pub fn open(&mut self, connection: Connection) -> Result<(), Refused> {
         let connections = self.open.len().max(1);
         let even = (self.all / connections).max(1);
--- a/crates/streams/src/frames.rs
+++ b/crates/streams/src/frames.rs
@@ -136,6 +136,10 @@
     /// Takes bytes in; `seen` is called with each head once it is whole, and says whether to go on. How many of the
     /// bytes come before the frame at which it did not: all of them where it always did. After that, and after an
     /// error, nothing is followed.
+    ///
+    /// # Errors
+    ///
+    /// The bytes do not begin with the preface of HTTP/2.
     pub fn take(&mut self, all: &[u8], mut seen: impl FnMut(Head) -> bool) -> Result<usize, NotHttp2> {
         let (mut bytes, mut begun) = (all, 0);
         while let Some(byte) = bytes.first() {
--- a/crates/streams/src/settings.rs
+++ b/crates/streams/src/settings.rs
@@ -73,6 +73,10 @@
 
 impl Http2 {
     /// Checks a file's `[http2]` table; `text` is the whole file's, for the lines.
+    ///
+    /// # Errors
+    ///
+    /// A key has a value outside its range; the error names the line.
     pub fn check(file: &Http2File, text: &str) -> Result<Http2, Http2Error> {
         let figure = |from: &Option<Spanned<f64>>, key, usual: f64, range: (f64, f64)| {
             let Some(found) = from else { return Ok(usual) };
@@ -127,6 +131,10 @@
     }
 
     /// Reads a `[http2]` table's own text.
+    ///
+    /// # Errors
+    ///
+    /// The text is not TOML of the expected form, or a key has a value outside its range.
     pub fn parse(text: &str) -> Result<Http2, Http2Error> {
         let file: Http2File = toml::from_str(text).map_err(|problem| {
             let start = problem.span().map_or(0, |span| span.start);
--- a/src/config/convert.rs
+++ b/src/config/convert.rs
@@ -5,10 +5,11 @@
 use super::field_names::operators_path;
 use super::file::{
     Bounds, ClassConf as ClassSettings, Conf as SettingsFile, Guarantees, Level as PlanSettings,
+    RetryAfterHeader,
 };
 use crate::scheduler::{
-    Class, DeduplicationScope, Idempotency, Plan, RateLimit, RetryBudget, SchedulerSettings,
-    SlowStartSettings,
+    Class, DeduplicationScope, Idempotency, OptionalMechanisms, Plan, RateLimit, RetryBudget,
+    SchedulerSettings, SlowStartSettings,
 };
 
 /// Upper bound of a time of the wires in seconds, about eleven days: far past any that is meant, and it fits
@@ -45,9 +46,11 @@
         tick_s: file.tick_s,
         max_pending: file.bounds.max_pending,
         max_attempts: file.bounds.max_attempts,
-        hedging: file.bounds.hedging,
-        cancellation: file.bounds.cancellation,
-        health_checks: file.bounds.health_checks,
+        mechanisms: OptionalMechanisms {
+            hedging: file.bounds.hedging,
+            cancellation: file.bounds.cancellation,
+            health_checks: file.bounds.health_checks,
+        },
         load_reports_in_answers: file.report.source == "answers",
         usage_period_s: file.domain.usage_period_s,
         reports_usage_elsewhere: file.domain.reports_usage_elsewhere,
@@ -93,7 +96,10 @@
 
 /// The longest `Retry-After`; zero where rejected requests carry none.
 fn max_retry_after_s(bounds: &Bounds) -> f64 {
-    if bounds.retry_after { bounds.max_retry_after_s } else { 0.0 }
+    match bounds.retry_after {
+        RetryAfterHeader::Sent => bounds.max_retry_after_s,
+        RetryAfterHeader::Absent => 0.0,
+    }
 }
 
 fn class(index: usize, class: &ClassSettings) -> Result<Class, ConfigError> {
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -56,6 +56,23 @@
     pub(super) plans: Vec<Level>,
 }
 
+/// Whether rejected requests carry a `Retry-After`; a boolean in the file.
+#[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
+#[serde(from = "bool")]
+pub(super) enum RetryAfterHeader {
+    /// They carry none.
+    #[default]
+    Absent,
+    /// They carry one, up to the longest time configured.
+    Sent,
+}
+
+impl From<bool> for RetryAfterHeader {
+    fn from(is_sent: bool) -> RetryAfterHeader {
+        if is_sent { RetryAfterHeader::Sent } else { RetryAfterHeader::Absent }
+    }
+}
+
 /// Bounds of what a head does for a request, and which optional mechanisms are on.
 #[derive(Deserialize)]
 pub(super) struct Bounds {
@@ -73,7 +90,7 @@
     #[serde(default, rename = "probes")]
     pub(super) health_checks: bool,
     #[serde(default)]
-    pub(super) retry_after: bool,
+    pub(super) retry_after: RetryAfterHeader,
     #[serde(default, rename = "second_copies")]
     pub(super) hedging: bool,
 }
--- a/src/core/dispatcher.rs
+++ b/src/core/dispatcher.rs
@@ -65,6 +65,10 @@
 
 impl Dispatcher {
     /// A dispatcher of a scheduler with these settings.
+    ///
+    /// # Errors
+    ///
+    /// The scheduler can't work with the settings.
     pub fn new(
         settings: SchedulerSettings,
         seed: u64,
--- a/src/discovery/relays.rs
+++ b/src/discovery/relays.rs
@@ -44,6 +44,10 @@
 
 impl RelayFollower {
     /// A follower without a watch yet. The seed spreads this head's delays from those of other heads.
+    ///
+    /// # Errors
+    ///
+    /// A relay has no name, or two relays have the same name or address.
     pub fn new(
         directory: Rc<EndpointDirectory>,
         head_name: &str,
--- a/src/discovery/relays/settings.rs
+++ b/src/discovery/relays/settings.rs
@@ -66,6 +66,10 @@
 
 impl DistributionSettings {
     /// Validates a file's `[distribution]` table; `text` is the whole file, for the line numbers.
+    ///
+    /// # Errors
+    ///
+    /// A key is missing or has a value that can't be used; the error names the line.
     pub fn check(file: &DistributionFile, text: &str) -> Result<DistributionSettings, DistributionError> {
         let checker = TableChecker { text };
         let region = checker.text(&file.region, "region")?;
--- a/src/frontend/block/config.rs
+++ b/src/frontend/block/config.rs
@@ -127,6 +127,10 @@
 
 impl Target {
     /// Reads the file; the settings give plans, classes and the largest request.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or its text can't be used, as for [`Target::parse`].
     pub fn load(
         path: &str,
         set: &SchedulerSettings,
@@ -137,6 +141,10 @@
     }
 
     /// Reads the file's text.
+    ///
+    /// # Errors
+    ///
+    /// The text is not TOML of the expected form, or a field has a value that can't be served.
     pub fn parse(
         text: &str,
         set: &SchedulerSettings,
--- a/src/frontend/block/connection.rs
+++ b/src/frontend/block/connection.rs
@@ -69,11 +69,19 @@
     }
 
     /// The address that the initiator connected to.
+    ///
+    /// # Errors
+    ///
+    /// The socket can't tell its address.
     pub fn local_addr(&self) -> std::io::Result<SocketAddr> {
         self.stream.0.local_addr()
     }
 
     /// The next PDU. May be dropped and called again without loss.
+    ///
+    /// # Errors
+    ///
+    /// The initiator closed the connection, it broke, or what came is not a valid PDU.
     pub async fn read(&mut self) -> Result<Pdu, SessionError> {
         loop {
             if let Some(pdu) = self.codec.decode(&mut self.incoming)? {
@@ -122,11 +130,19 @@
     }
 
     /// Sends a PDU that bears a status number and takes it.
+    ///
+    /// # Errors
+    ///
+    /// The connection broke, or the initiator did not read in time.
     pub async fn respond(&mut self, pdu: Pdu) -> Result<(), SessionError> {
         self.respond_after(Vec::new(), pdu).await
     }
 
     /// Sends the data of a read, then the response that bears a status number and takes it.
+    ///
+    /// # Errors
+    ///
+    /// The connection broke, or the initiator did not read in time.
     pub async fn respond_after(&mut self, mut data: Vec<Pdu>, pdu: Pdu) -> Result<(), SessionError> {
         data.push(pdu.with(24, self.stat_sn));
         self.stat_sn = self.stat_sn.wrapping_add(1);
@@ -134,12 +150,20 @@
     }
 
     /// Sends a PDU that bears the next status number without taking it (R2T, and a NOP-In that asks for an answer).
+    ///
+    /// # Errors
+    ///
+    /// The connection broke, or the initiator did not read in time.
     pub async fn send_unnumbered(&mut self, pdu: Pdu) -> Result<(), SessionError> {
         let pdu = pdu.with(24, self.stat_sn);
         self.write(&[pdu]).await
     }
 
     /// Rejects a PDU, whose header goes back.
+    ///
+    /// # Errors
+    ///
+    /// The connection broke, or the initiator did not read in time.
     pub async fn reject(&mut self, why: u8, header: &[u8; BHS]) -> Result<(), SessionError> {
         let mut pdu = Pdu::new(response::REJECT, 0x80, NO_TAG).with_data(header.to_vec());
         pdu.header[2] = why;
--- a/src/frontend/block/login.rs
+++ b/src/frontend/block/login.rs
@@ -35,6 +35,15 @@
     pub const OUT_OF_RESOURCES: u16 = 0x0302;
 }
 
+/// What a session is for (RFC 7143, section 13.21).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SessionType {
+    /// Commands to the logical units.
+    Normal,
+    /// Finding targets: no SCSI commands.
+    Discovery,
+}
+
 /// What a login came to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Params {
@@ -42,8 +51,8 @@
     pub initiator: String,
     /// Its part of the session's identifier.
     pub isid: [u8; 6],
-    /// A discovery session: text only.
-    pub discovery: bool,
+    /// What the session is for.
+    pub session_type: SessionType,
     /// CRC32C over headers.
     pub header_digest: bool,
     /// CRC32C over data.
@@ -65,7 +74,7 @@
         Params {
             initiator: String::new(),
             isid: [0; 6],
-            discovery: false,
+            session_type: SessionType::Normal,
             header_digest: false,
             data_digest: false,
             longest_out: 8192,
@@ -119,8 +128,8 @@
             "TargetName" if value == target.name => {}
             "TargetName" => return Err(status::NOT_FOUND),
             "SessionType" => match value {
-                "Normal" => self.discovery = false,
-                "Discovery" => self.discovery = true,
+                "Normal" => self.session_type = SessionType::Normal,
+                "Discovery" => self.session_type = SessionType::Discovery,
                 _ => return Err(status::SESSION_TYPE),
             },
             "AuthMethod" => match value.split(',').any(|method| method == "None") {
@@ -234,11 +243,12 @@
             }
         }
         if first {
-            let named = self.seen.contains_key("TargetName") || self.params.discovery;
+            let named =
+                self.seen.contains_key("TargetName") || self.params.session_type == SessionType::Discovery;
             if self.params.initiator.is_empty() || !named {
                 return Err(status::MISSING_PARAMETER);
             }
-            if !self.params.discovery {
+            if self.params.session_type == SessionType::Normal {
                 answers.push(("TargetPortalGroupTag".into(), "1".into()));
             }
         }
@@ -259,6 +269,10 @@
 
 /// Leads a connection through its login. `open` gives the session its handle once the login is about to
 /// succeed, or `None` when there is no room for one.
+///
+/// # Errors
+///
+/// The connection ends, a PDU is not a login request, the login is rejected, or it takes too many requests.
 pub async fn login<H>(
     connection: &mut Connection,
     target: &Target,
--- a/src/frontend/block/pdu.rs
+++ b/src/frontend/block/pdu.rs
@@ -145,6 +145,10 @@
 
 impl Codec {
     /// The next PDU, if all of it is there.
+    ///
+    /// # Errors
+    ///
+    /// The data segment is longer than declared, or a digest is wrong.
     pub fn decode(&self, buffer: &mut BytesMut) -> Result<Option<Pdu>, PduError> {
         if buffer.len() < BHS {
             return Ok(None);
--- a/src/frontend/block/scsi.rs
+++ b/src/frontend/block/scsi.rs
@@ -58,6 +58,10 @@
 }
 
 /// Reads a CDB addressed to a logical unit (`None`: one in no known form).
+///
+/// # Errors
+///
+/// The sense data of a command that can't be served: unknown unit or operation, invalid field, or blocks out of range.
 pub fn command(cdb: &[u8; 16], target: &Target, number_of: Option<u16>) -> Result<Command, Sense> {
     let lun = number_of.and_then(|n| target.lun(n));
     let at_most = |mut data: Vec<u8>, length: u64| {
--- a/src/frontend/block/session.rs
+++ b/src/frontend/block/session.rs
@@ -8,7 +8,7 @@
 
 use super::connection::{CommandOrder, Connection, reject_reason};
 use super::error::SessionError;
-use super::login::{self, Params};
+use super::login::{self, Params, SessionType};
 use super::pdu::{NO_TAG, Pdu, PduError, request, response as opcode};
 use super::registry::SessionHandle;
 use super::shared::BlockFrontend;
@@ -45,6 +45,10 @@
 }
 
 /// Serves one connection to its end.
+///
+/// # Errors
+///
+/// The login fails, the initiator breaks the protocol or goes silent, the connection ends, or a new login replaces it.
 pub async fn serve<T: Transport + 'static>(
     front: Rc<BlockFrontend<T>>,
     stream: Rc<TcpStream>,
@@ -171,7 +175,8 @@
                 CommandOrder::Gap => return self.protocol_error(&pdu, "a gap in CmdSN").await,
             }
         }
-        if self.params.discovery && !matches!(opcode, request::TEXT | request::LOGOUT | request::NOP_OUT) {
+        let serves_commands = self.params.session_type == SessionType::Normal;
+        if !serves_commands && !matches!(opcode, request::TEXT | request::LOGOUT | request::NOP_OUT) {
             return self.protocol_error(&pdu, "a command in a discovery session").await;
         }
         match opcode {
--- a/src/frontend/block/session/control.rs
+++ b/src/frontend/block/session/control.rs
@@ -2,7 +2,7 @@
 
 use super::super::connection::reject_reason;
 use super::super::error::SessionError;
-use super::super::login;
+use super::super::login::{self, SessionType};
 use super::super::pdu::{NO_TAG, Pdu, response};
 use super::Session;
 use super::task::Task;
@@ -82,8 +82,8 @@
     /// Whether a value of SendTargets asks for this target in this kind of session.
     fn is_asked_for(&self, value: &str) -> bool {
         match value {
-            "All" => self.params.discovery,
-            "" => !self.params.discovery,
+            "All" => self.params.session_type == SessionType::Discovery,
+            "" => self.params.session_type == SessionType::Normal,
             name => name == self.front.target.name,
         }
     }
--- a/src/frontend/intake.rs
+++ b/src/frontend/intake.rs
@@ -4,7 +4,7 @@
 //! may hide another one in its body. Here each head is read to its end, with hyper's own parser, before hyper gets it,
 //! and nothing that follows a request with ambiguous framing ever gets there.
 //!
-//! [`RequestReader`] is the socket that hyper reads and writes, [`framing`] finds where requests end, and
+//! [`RequestReader`] is the socket that hyper reads and writes, `framing` finds where requests end, and
 //! [`ConnectionState`] is what the reader, the service and the connection's task share.
 
 mod connection_state;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,8 +6,9 @@
 //!
 //! ```
 //! use flaxgap::scheduler::{
-//!     Action, Class, ClassId, Endpoint, Event, Idempotency, IoRequest, NodeId, NodeState, PlanId, RequestId, Scheduler,
-//!     SchedulerSettings, SchedulerSettingsError, ShardId, SlowStartSettings, UpdateKind, VolumeId, ZoneId,
+//!     Action, Class, ClassId, Endpoint, Event, Idempotency, IoRequest, NodeId, NodeState, OptionalMechanisms, PlanId,
+//!     RequestId, Scheduler, SchedulerSettings, SchedulerSettingsError, ShardId, SlowStartSettings, UpdateKind, VolumeId,
+//!     ZoneId,
 //! };
 //!
 //! let settings = SchedulerSettings {
@@ -28,9 +29,7 @@
 //!     tick_s: 0.002,
 //!     max_pending: 1000,
 //!     max_attempts: 3,
-//!     hedging: false,
-//!     cancellation: true,
-//!     health_checks: false,
+//!     mechanisms: OptionalMechanisms { hedging: false, cancellation: true, health_checks: false },
 //!     load_reports_in_answers: false,
 //!     usage_period_s: 0.0,
 //!     reports_usage_elsewhere: false,
--- a/src/scheduler/attempt_results.rs
+++ b/src/scheduler/attempt_results.rs
@@ -96,7 +96,7 @@
     /// Cancels the attempts that are overdue for their size while their node answered later ones: the connection is
     /// stalled or the answer is lost, and there is time for another attempt.
     pub(super) fn cancel_overdue_attempts(&mut self, actions: &mut Vec<Action>) {
-        if !self.settings.cancellation {
+        if !self.settings.mechanisms.cancellation {
             return;
         }
         let check = OverdueCheck { now: self.now, settings: &self.settings, requests: &self.requests };
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -43,7 +43,7 @@
 
     /// Cancels a request's attempts that are in flight.
     pub(super) fn cancel_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if !self.settings.cancellation {
+        if !self.settings.mechanisms.cancellation {
             return;
         }
         let Some(pending) = self.requests.get(id) else { return };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -43,8 +43,8 @@
     ZoneAdmission, ZoneId,
 };
 pub use settings::{
-    Class, DeduplicationScope, Idempotency, Plan, RateLimit, RetryBudget, SchedulerSettings,
-    SchedulerSettingsError, SlowStartSettings,
+    Class, DeduplicationScope, Idempotency, OptionalMechanisms, Plan, RateLimit, RetryBudget,
+    SchedulerSettings, SchedulerSettingsError, SlowStartSettings,
 };
 
 use class_weights::ClassWeights;
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -87,6 +87,17 @@
     pub window_s: f64,
 }
 
+/// Mechanisms that a deployment may allow.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OptionalMechanisms {
+    /// Whether a request may be hedged: two of its attempts in flight at once.
+    pub hedging: bool,
+    /// Whether attempts may be cancelled.
+    pub cancellation: bool,
+    /// Whether nodes may be sent health checks.
+    pub health_checks: bool,
+}
+
 /// Everything that a scheduler is configured with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerSettings {
@@ -110,12 +121,8 @@
     pub max_pending: usize,
     /// Most attempts of one request.
     pub max_attempts: usize,
-    /// Whether a request may be hedged: two of its attempts in flight at once.
-    pub hedging: bool,
-    /// Whether attempts may be cancelled.
-    pub cancellation: bool,
-    /// Whether nodes may be sent health checks.
-    pub health_checks: bool,
+    /// Which optional mechanisms are on.
+    pub mechanisms: OptionalMechanisms,
     /// Whether load reports come with answers; otherwise they come with health checks, if at all.
     pub load_reports_in_answers: bool,
     /// Period of the figure [`Event::AttemptEnded::usage`](super::Event::AttemptEnded), in seconds; 0 for none.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use flaxgap::Scheduler;
 use flaxgap::scheduler::{
     Action, AttemptOutcome, Class, ClassId, DeduplicationScope, Endpoint, Event, ExtentId, Idempotency,
-    IoRequest, LoadReport, NodeId, NodeState, Plan, PlanId, RateLimit, RequestId, SchedulerSettings, ShardId,
-    SlowStartSettings, UpdateKind, VolumeId, ZoneId,
+    IoRequest, LoadReport, NodeId, NodeState, OptionalMechanisms, Plan, PlanId, RateLimit, RequestId,
+    SchedulerSettings, ShardId, SlowStartSettings, UpdateKind, VolumeId, ZoneId,
 };
 
 pub const IDEMPOTENT: ClassId = ClassId(0);
@@ -43,9 +43,7 @@
         tick_s: 0.002,
         max_pending: 1000,
         max_attempts: 3,
-        hedging: false,
-        cancellation: true,
-        health_checks: false,
+        mechanisms: OptionalMechanisms { hedging: false, cancellation: true, health_checks: false },
         load_reports_in_answers: true,
         usage_period_s: 0.0,
         reports_usage_elsewhere: false,
--- a/tests/conformance_http2.rs
+++ b/tests/conformance_http2.rs
@@ -220,6 +220,16 @@
 
 /// Section 6: each type of frame.
 fn types(t: &mut Table, section: &dyn Fn() -> Vec<u8>) {
+    frame_streams(t, section);
+    padding_and_priority(t, section);
+    frame_lengths(t);
+    settings_frames(t);
+    push_ping_goaway(t);
+    windows_and_continuation(t);
+}
+
+/// Section 6: frames on a stream that they do not belong to.
+fn frame_streams(t: &mut Table, section: &dyn Fn() -> Vec<u8>) {
     for (name, kind, payload) in [
         ("DATA", kind::DATA, &b"x"[..]),
         ("HEADERS", kind::HEADERS, &section()),
@@ -246,6 +256,10 @@
             Ends(&[PROTOCOL_ERROR]),
         );
     }
+}
+
+/// Sections 6.1 and 6.2: padding of DATA and HEADERS, and HEADERS with a priority.
+fn padding_and_priority(t: &mut Table, section: &dyn Fn() -> Vec<u8>) {
     for pad in [0, 1, 7, 200] {
         let data = [&[pad][..], b"abc", &vec![0; usize::from(pad)]].concat();
         let bytes = [save(1), frame(kind::DATA, flag::PADDED | flag::END_STREAM, 1, &data)].concat();
@@ -274,6 +288,10 @@
     );
     let prior = [&[0, 0, 0, 0, 15][..], &section()].concat();
     t.add("6.2", "HEADERS with a priority", frame(kind::HEADERS, 0x20 | END, 1, &prior), Status(1, 200));
+}
+
+/// Sections 6.3, 6.4 and 6.9: PRIORITY, RST_STREAM and WINDOW_UPDATE of a wrong length.
+fn frame_lengths(t: &mut Table) {
     for length in [0, 4, 6] {
         let bytes = [save(1), frame(kind::PRIORITY, 0, 1, &vec![0; length])].concat();
         t.add("6.3", format!("PRIORITY of {length} bytes"), bytes, Resets(1, &[FRAME_SIZE_ERROR]));
@@ -288,6 +306,10 @@
             Ends(&[FRAME_SIZE_ERROR]),
         );
     }
+}
+
+/// Section 6.5: SETTINGS and their values.
+fn settings_frames(t: &mut Table) {
     t.add(
         "6.5",
         "SETTINGS ACK with something in it",
@@ -321,6 +343,10 @@
     ] {
         t.add("6.5.2", name, settings(&[(id, value)]), GoesOn);
     }
+}
+
+/// Sections 6.6 to 6.8: PUSH_PROMISE, PING and GOAWAY.
+fn push_ping_goaway(t: &mut Table) {
     t.add(
         "6.6",
         "PUSH_PROMISE of a client",
@@ -342,6 +368,10 @@
         [read(1), frame(kind::GOAWAY, 0, 0, &[0; 8])].concat(),
         Status(1, 200),
     );
+}
+
+/// Sections 6.9 and 6.10: WINDOW_UPDATE and CONTINUATION.
+fn windows_and_continuation(t: &mut Table) {
     t.add("6.9", "WINDOW_UPDATE by 0 on the connection", update(0, 0), Ends(&[PROTOCOL_ERROR]));
     t.add(
         "6.9",
--- a/tests/equivalence/random_inputs.rs
+++ b/tests/equivalence/random_inputs.rs
@@ -1,8 +1,8 @@
 //! What is drawn at random: settings that a scheduler can be given, how nodes answer, and levels of reduced service.
 
 use flaxgap::scheduler::{
-    Admission, AttemptOutcome, Class, DeduplicationScope, Idempotency, Plan, RateLimit, RetryBudget,
-    SchedulerSettings, SheddingLevel, SlowStartSettings, ZoneAdmission, ZoneId,
+    Admission, AttemptOutcome, Class, DeduplicationScope, Idempotency, OptionalMechanisms, Plan, RateLimit,
+    RetryBudget, SchedulerSettings, SheddingLevel, SlowStartSettings, ZoneAdmission, ZoneId,
 };
 use rand::{Rng, SeedableRng};
 
@@ -23,7 +23,7 @@
 pub fn settings(rng: &mut TestRng) -> SchedulerSettings {
     let mut config = any_settings(rng);
     if rng.random_bool(0.2) {
-        (config.cancellation, config.max_attempts, config.slow_start.window_s) = (true, 4, 0.0);
+        (config.mechanisms.cancellation, config.max_attempts, config.slow_start.window_s) = (true, 4, 0.0);
         for class in &mut config.classes {
             let objective = rng.random_range(0.1..0.4);
             (class.latency_objective_s, class.deadline_s, class.ordered) =
@@ -70,9 +70,11 @@
         tick_s: one_of(rng, &[0.0, 0.001, 0.002, 0.04]),
         max_pending: one_of(rng, &[4, 40, 1000]),
         max_attempts: rng.random_range(1..5),
-        hedging: false,
-        cancellation: rng.random_bool(0.8),
-        health_checks: false,
+        mechanisms: OptionalMechanisms {
+            hedging: false,
+            cancellation: rng.random_bool(0.8),
+            health_checks: false,
+        },
         load_reports_in_answers: true,
         usage_period_s: 0.0,
         reports_usage_elsewhere: false,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -110,7 +110,7 @@
     let mut config = settings();
     config.classes.truncate(1);
     config.plans.clear();
-    (config.heads, config.health_checks, config.load_reports_in_answers, config.tick_s) =
+    (config.heads, config.mechanisms.health_checks, config.load_reports_in_answers, config.tick_s) =
         (1, true, false, 0.0);
     config.slow_start = SlowStartSettings {
         units: 0.0,
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -683,7 +683,7 @@
     }
 
     fn cancel(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(held) = self.held.get(&id).filter(|_| self.set.cancellation) else { return };
+        let Some(held) = self.held.get(&id).filter(|_| self.set.mechanisms.cancellation) else { return };
         for (attempt, _) in held.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none()) {
             actions.push(Action::Cancel { request: id, attempt });
         }
@@ -802,7 +802,8 @@
         for lane in self.lanes.values_mut() {
             let overdue = (OVERDUE * lane.recent).max(self.tightest);
             lane.out.retain(|o| {
-                let held = held.get(&o.id).filter(|h| o.passed >= PASSED && set.cancellation && !h.over);
+                let held =
+                    held.get(&o.id).filter(|h| o.passed >= PASSED && set.mechanisms.cancellation && !h.over);
                 let Some(held) = held.filter(|h| h.attempts.len() < set.max_attempts) else { return true };
                 let repeat = set.classes[held.ask.class.0].idempotency;
                 let late = now - o.at > overdue * (held.ask.units / set.mean_request_units).max(1.0);
