--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,8 +1,8 @@
-//! Parsers of discovery's JSON form of a list. This module is the only one, beside [`crate::list_header`], that knows
+//! Parsers of discovery's JSON form of a list. This module is the only one, beside `list_header`, that knows
 //! the field names of the wire.
 //!
 //! A list is parsed entry by entry, so that an entry that can't be read costs no other entry. An entry in the expected
-//! form is parsed by its types ([`WireEntry`]); any other is read field by field ([`FieldReader`]) to use what can be
+//! form is parsed by its types (`WireEntry`); any other is read field by field (`FieldReader`) to use what can be
 //! used of it, above all a drain.
 
 use crate::compact::CompactList;
