--- a/crates/lab/src/guard/heads.rs
+++ b/crates/lab/src/guard/heads.rs
@@ -102,7 +102,7 @@
         }
         let Some(rate) = self.rate(head, age, slow) else { return true };
         let Some(first) = self.waiting[head].front() else { return false };
-        let request = WaitingRequest { units: first.units, is_due: true, sample: first.sample };
+        let request = WaitingRequest { units: first.units, is_reserved: true, sample: first.sample };
         self.views[head].wait_s(&COLD, rate, request, age) <= 0.0
     }
 }
@@ -120,7 +120,7 @@
 
     fn arrived(&mut self, age: f64, arrival: Arrival) {
         let Arrival { head, units, sample } = arrival;
-        self.views[head].record_due(age, units);
+        self.views[head].record_demand(age, units);
         self.waiting[head].push_back(Waiting { since: age, units, sample });
         self.busy.insert(head);
     }
--- a/crates/slow-start/src/decaying_rate.rs
+++ b/crates/slow-start/src/decaying_rate.rs
@@ -1,12 +1,13 @@
-//! A mean rate in which the past loses significance.
+//! Exponentially decaying mean rate.
 
-/// Shortest time constant, in seconds.
+/// Shortest time constant, in seconds. A shorter one passed to [`DecayingRate::new`] is raised to this.
 const MIN_TIME_CONSTANT_S: f64 = 0.5;
-/// Least fraction of its time constant that a rate's past counts for: a first request is no rate yet.
+/// Lower bound of the elapsed share of the time constant by which the sum is divided. Without the bound, the first
+/// request after the start would give a very high rate.
 const MIN_KNOWN_FRACTION: f64 = 0.5;
 
-/// An exponentially decaying mean rate, in units a second. It knows how long its past is, and so is right from the
-/// start.
+/// An exponentially decaying mean rate, in units per second. The estimate is corrected for the time elapsed since the
+/// start, so the rate is not underestimated while less than a time constant has passed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingRate {
     time_constant_s: f64,
@@ -16,7 +17,8 @@
 }
 
 impl DecayingRate {
-    /// Nothing counted yet. A time constant that is too short is raised.
+    /// Creates a rate of zero that starts at `now`. The time constant is raised to `MIN_TIME_CONSTANT_S` if it is
+    /// shorter.
     pub(crate) fn new(time_constant_s: f64, now: f64) -> DecayingRate {
         DecayingRate {
             time_constant_s: time_constant_s.max(MIN_TIME_CONSTANT_S),
@@ -26,20 +28,20 @@
         }
     }
 
-    /// Counts units.
+    /// Adds `units` at the time `now`.
     pub(crate) fn add(&mut self, now: f64, units: f64) {
         self.sum = self.sum * self.remaining(self.updated_at, now) + units;
         self.updated_at = now;
     }
 
-    /// The rate at `now`.
+    /// Returns the rate at `now`, in units per second.
     pub(crate) fn per_second(&self, now: f64) -> f64 {
         let known_fraction = 1.0 - self.remaining(self.started_at, now);
         self.sum * self.remaining(self.updated_at, now)
             / (self.time_constant_s * known_fraction.max(MIN_KNOWN_FRACTION))
     }
 
-    /// The fraction of what was counted at `from` that is left at `now`.
+    /// Returns the factor by which units counted at `from` have decayed at `now`.
     fn remaining(&self, from: f64, now: f64) -> f64 {
         ((from - now) / self.time_constant_s).exp()
     }
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -1,41 +1,43 @@
-//! Slow start of a storage node behind many heads that share no state: how much one head may send a node that has just
-//! started, so that all heads together stay under the load that makes it fail.
+//! Slow start of a storage node that receives requests from many heads that share no state. It limits how much one
+//! head may send to a node that has just started, so that all heads together stay below the load at which the node
+//! fails.
 //!
-//! A head works from the units that were due to it at the node before, and from the node's latency, which shows the
-//! load of all heads:
+//! The limit of a head follows from its own demand on the shard before the node started, and from the node's latency,
+//! which reflects the load of all heads:
 //!
-//! - *Due* units are those of requests that were inside their volume's reserve at arrival, and those of other requests
-//!   that the node served. Their rate is what this head needs of the node, and the base of its allowance.
-//! - The *allowance factor* is by how much this head may exceed that base: each fast answer of the node raises it, a
-//!   slow one lowers it, a failure resets it to 1.
+//! - The *demand* counts the units of requests that were inside their volume's reserve at arrival, and of other
+//!   requests that the node served. Its rate is the base of the head's allowance.
+//! - The *allowance factor* is the factor by which the head may exceed that base. Each fast answer of the node raises
+//!   the factor, a slow answer lowers it, and a failure resets it to 1.
 //!
-//! Time is an argument, in seconds; sizes are in units.
+//! Time is passed in as an argument, in seconds; request sizes are in units.
 
 mod decaying_rate;
 
 use decaying_rate::DecayingRate;
 
-/// How a node that just started is protected.
+/// Settings that limit the load on a node that has just started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartSettings {
-    /// Units that all heads together can always send it within `window_s`.
+    /// Units that all heads together may always send to a starting node within `window_s`.
     pub units: f64,
-    /// The window over which its load is counted, in seconds.
+    /// The window over which the load of the node is counted, in seconds.
     pub window_s: f64,
-    /// Fraction of its capacity that it starts with, at least.
+    /// Lower bound of the fraction of its full capacity that a node has at its start.
     pub initial_capacity: f64,
-    /// Seconds after which it has warmed up, at the latest.
+    /// Upper bound of the seconds that a node takes to reach its full capacity.
     pub warm_up_s: f64,
-    /// The multiple of its present capacity that overloads it when sent for `window_s`.
+    /// The multiple of its current capacity that overloads a node if sent throughout `window_s`.
     pub overload_factor: f64,
 }
 
-/// Least fraction of its capacity that a node is assumed to start with: the guarantee is divided by it.
+/// Lower bound of the initial capacity used in calculations. The guaranteed units are divided by the initial capacity,
+/// so it must not be zero.
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
 
 impl SlowStartSettings {
-    /// The fraction of its capacity that a node has at least during all of the window that ends `age_s` after its
-    /// start. `None`: it has warmed up.
+    /// Returns a lower bound of the fraction of full capacity that a node has throughout the window ending `age_s`
+    /// after its start, or `None` once the node has warmed up.
     fn capacity_fraction(&self, age_s: f64) -> Option<f64> {
         if age_s >= self.warm_up_s + self.window_s || self.window_s <= 0.0 {
             return None;
@@ -51,67 +53,70 @@
     }
 }
 
-/// Fraction of what a starting node is assumed to bear that is used; the rest is for random variation.
-const USED_FRACTION: f64 = 0.75;
-/// Factor by which a fast answer of the node raises this head's allowance, and a slow one lowers it. The node's
-/// backlog at most doubles within one round of answers, and each of those has to be fast.
+/// Fraction of the load that a starting node is assumed to withstand which a head plans to use. The rest leaves room
+/// for random variation.
+const TARGET_LOAD_FRACTION: f64 = 0.75;
+/// Factor by which a fast answer raises the allowance factor and a slow answer lowers it. With a factor of 2, the
+/// node's backlog at most doubles within one round of answers, and only if each of those answers was fast.
 const ALLOWANCE_FACTOR_STEP: f64 = 2.0;
-/// Upper bound of the allowance factor: a higher one would take too many slow answers to undo. The allowance of a
-/// thousand heads is then the complete guarantee.
+/// Upper bound of the allowance factor. A higher value would take too many slow answers to undo. At this value, each
+/// head of a fleet of 1024 may send the complete guaranteed rate.
 const MAX_ALLOWANCE_FACTOR: f64 = 1024.0;
 
-/// How soon an answer came.
+/// Classification of an answer by its latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerSpeed {
-    /// So soon that the node has little pending.
+    /// The latency is low, which shows that the node has little work pending.
     Fast,
-    /// Neither.
+    /// The latency is neither low nor too high.
     Normal,
-    /// Later than the node should answer.
+    /// The latency is above what the node should need.
     Slow,
 }
 
-/// This process among those that send to a node.
+/// The share of this process in the load that all senders put on a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SenderShare {
-    /// Number of heads.
+    /// Number of heads that send to the node.
     pub heads: f64,
-    /// Fraction of its head's share that this process may send.
+    /// Fraction of its head's share that this process may send; below 1 while two processes of a head run side by
+    /// side.
     pub process_share: f64,
 }
 
-/// A node at the moment of a decision.
+/// Condition of a node at the time of a decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeCondition {
-    /// Seconds since its start.
+    /// Seconds since the node started.
     pub age_s: f64,
-    /// Whether it takes long to answer now.
+    /// Whether the estimated latency of the node is too high, so that the allowance factor does not apply.
     pub is_slow: bool,
 }
 
-/// A request that waits for a starting node.
+/// A request that waits to be sent to a starting node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitingRequest {
-    /// Its size.
+    /// Size of the request.
     pub units: f64,
-    /// Whether it was inside its volume's reserve at arrival.
-    pub is_due: bool,
-    /// Its random sample, in [0, 1).
+    /// Whether the request was inside its volume's reserve at arrival.
+    pub is_reserved: bool,
+    /// The request's random sample, in [0, 1).
     pub sample: f64,
 }
 
-/// One head's view of the node that serves one shard, through the nodes that serve it one after the other.
+/// Slow-start state that one head keeps for one shard. It continues when another node takes over the shard.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Rate of the units due to this head at the shard.
-    due: DecayingRate,
-    /// The same when the node started, in units a second.
-    due_at_start: f64,
-    /// Factor on this head's allowance that the node's fast answers have earned.
+    /// Rate of this head's demand on the shard.
+    demand: DecayingRate,
+    /// The demand rate at the last start of a node, in units per second.
+    demand_at_start: f64,
+    /// Factor on this head's allowance, raised by fast answers of the node.
     allowance_factor: f64,
-    /// Token bucket: units saved up; below 0, units sent ahead. `None` before the first request.
+    /// Tokens available, in units; negative after requests sent ahead of their tokens. `None` before the first
+    /// request.
     tokens: Option<f64>,
-    /// When the tokens were counted.
+    /// When `tokens` was last updated.
     tokens_at: f64,
 }
 
@@ -122,25 +127,32 @@
 }
 
 impl SlowStart {
-    /// The view of a shard that this head first hears of. What was due fades within the time in which nodes warm up.
+    /// Creates the state of a shard that this head has just learnt of. The demand decays with the time constant
+    /// `warm_up_s`, the time in which a node warms up.
     pub fn new(warm_up_s: f64, now: f64) -> SlowStart {
-        let due = DecayingRate::new(warm_up_s, now);
-        SlowStart { due, due_at_start: 0.0, allowance_factor: 1.0, tokens: None, tokens_at: now }
+        let demand = DecayingRate::new(warm_up_s, now);
+        SlowStart { demand, demand_at_start: 0.0, allowance_factor: 1.0, tokens: None, tokens_at: now }
     }
 
-    /// Records that another node serves the shard now, or the same one after a restart.
+    /// Records that another node took over the shard, or that the same node restarted.
     pub fn record_node_start(&mut self, now: f64) {
-        let due_at_start = self.due.per_second(now);
-        *self =
-            SlowStart { due: self.due, due_at_start, allowance_factor: 1.0, tokens: None, tokens_at: now };
+        let demand_at_start = self.demand.per_second(now);
+        *self = SlowStart {
+            demand: self.demand,
+            demand_at_start,
+            allowance_factor: 1.0,
+            tokens: None,
+            tokens_at: now,
+        };
     }
 
-    /// Records units that were due to this head: inside a reserve when they arrived, or served.
-    pub fn record_due(&mut self, now: f64, units: f64) {
-        self.due.add(now, units);
+    /// Adds to this head's demand: the units of a request inside a reserve at its arrival, or of any other request
+    /// once the node has served it.
+    pub fn record_demand(&mut self, now: f64, units: f64) {
+        self.demand.add(now, units);
     }
 
-    /// Records an answer of the node.
+    /// Records the speed of an answer from the node.
     pub fn record_answer(&mut self, speed: AnswerSpeed) {
         self.allowance_factor = match speed {
             AnswerSpeed::Fast => (self.allowance_factor * ALLOWANCE_FACTOR_STEP).min(MAX_ALLOWANCE_FACTOR),
@@ -149,21 +161,24 @@
         };
     }
 
-    /// Records that the node rejected a request, or broke a connection.
+    /// Records that the node rejected a request, was unreachable or broke a connection.
     pub fn record_failure(&mut self) {
         self.allowance_factor = 1.0;
     }
 
-    /// Records a request that was sent to the node.
+    /// Takes the tokens of a request that was sent to the node.
     pub fn record_sent(&mut self, units: f64) {
         self.tokens = self.tokens.map(|tokens| tokens - units);
     }
 
-    /// Units a second that this process may send the node. `None`: it has warmed up.
+    /// Returns the rate at which this process may send to the node, in units per second, or `None` once the node has
+    /// warmed up.
     ///
-    /// It is the head's even share of what is guaranteed or, if more, most of what the settings allow a node that does
-    /// what was due to this head there: over all heads no more than the node did. Of that, a multiple while the
-    /// node answers fast; alone never more than all heads together may.
+    /// The base rate is the head's even share of the guaranteed rate or, if higher, a rate in proportion to the head's
+    /// demand: `TARGET_LOAD_FRACTION` of the load that overloads a node whose full capacity just covers the demand.
+    /// Summed over all heads, that stays below the overload of any node that could serve the total demand before.
+    /// While the node is not slow, the base rate is multiplied by the allowance factor, up to the rate guaranteed to
+    /// all heads together.
     pub fn allowed_rate(
         &self,
         settings: &SlowStartSettings,
@@ -174,20 +189,22 @@
         let capacity_fraction = settings.capacity_fraction(node.age_s)?;
         let guaranteed_rate = sender.process_share * settings.units / settings.window_s * capacity_fraction
             / settings.initial_capacity_fraction();
-        let rate_by_due = USED_FRACTION * settings.overload_factor * capacity_fraction * self.due_rate(now);
-        let own_rate = rate_by_due.max(guaranteed_rate / sender.heads);
+        let rate_by_demand =
+            TARGET_LOAD_FRACTION * settings.overload_factor * capacity_fraction * self.demand_rate(now);
+        let own_rate = rate_by_demand.max(guaranteed_rate / sender.heads);
         if node.is_slow {
             return Some(own_rate);
         }
         Some(own_rate.max(guaranteed_rate.min(own_rate * self.allowance_factor)))
     }
 
-    /// Seconds until a request may go at this rate; 0 if it may go now.
+    /// Returns the seconds until the request may be sent at `rate`; 0 if it may be sent now.
     ///
-    /// Tokens are saved up to a complete request, and the first level is random, or all heads would send at once. A
-    /// head with a low rate would save tokens for a request that seldom comes. So a reserved request is sent before its
-    /// tokens are saved with probability `rate / due_rate`, at most 1, by its `sample`; its tokens are then owed, and
-    /// what follows waits until the debt is paid. Over all heads no more is reserved than the node's plans promise.
+    /// Tokens accumulate up to the size of a complete request. The initial level is random, since otherwise all heads
+    /// would send at the same moment. At a low rate a head would accumulate tokens for requests that seldom arrive.
+    /// Therefore a reserved request is sent ahead of its tokens with probability `rate / demand_rate` (at most 1),
+    /// decided by its `sample`. The token count then goes negative, and later requests wait until it has recovered.
+    /// The reserved requests of all heads together do not exceed what the plans of the node's volumes promise.
     pub fn wait_s(
         &mut self,
         settings: &SlowStartSettings,
@@ -195,21 +212,22 @@
         request: WaitingRequest,
         now: f64,
     ) -> f64 {
-        let WaitingRequest { units, is_due, sample } = request;
-        let bucket_size = units.max((1.0 - USED_FRACTION) * rate * settings.window_s);
+        let WaitingRequest { units, is_reserved, sample } = request;
+        let bucket_size = units.max((1.0 - TARGET_LOAD_FRACTION) * rate * settings.window_s);
         let tokens = match self.tokens {
             Some(tokens) => (tokens + rate * (now - self.tokens_at)).min(bucket_size),
             None => sample * units,
         };
         self.tokens = Some(tokens);
         self.tokens_at = now;
-        let is_sent_early = is_due && sample * self.due_rate(now) < rate;
+        let is_sent_early = is_reserved && sample * self.demand_rate(now) < rate;
         let needed_units = if is_sent_early { 0.0 } else { units };
         (needed_units - tokens).max(0.0) / rate
     }
 
-    /// Units a second that are due to this head: at the node's start, or since then if that is more.
-    fn due_rate(&self, now: f64) -> f64 {
-        self.due_at_start.max(self.due.per_second(now))
+    /// Returns this head's demand rate, in units per second: the rate at the node's start or the current one,
+    /// whichever is higher.
+    fn demand_rate(&self, now: f64) -> f64 {
+        self.demand_at_start.max(self.demand.per_second(now))
     }
 }
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -75,7 +75,7 @@
         for head in 0..heads as usize {
             if chance.random_bool(rate * STEP / 2.0) {
                 let units = chance.random_range(1..=3u32).into();
-                views[head].record_due(now, units);
+                views[head].record_demand(now, units);
                 held[head].push_back((now, units, chance.random()));
                 asked += if age >= 0.0 { units } else { 0.0 };
             }
@@ -85,7 +85,7 @@
             let sender = SenderShare { heads: f64::from(heads), process_share: 1.0 };
             let node = NodeCondition { age_s: age.max(0.0), is_slow: oldest > AIM };
             let rate = views[head].allowed_rate(&COLD, sender, node, now);
-            let request = WaitingRequest { units, is_due: true, sample };
+            let request = WaitingRequest { units, is_reserved: true, sample };
             let goes =
                 age < 0.0 || rate.is_none_or(|rate| views[head].wait_s(&COLD, rate, request, now) <= 0.0);
             if goes {
--- a/crates/slow-start/tests/standing_bound.rs
+++ b/crates/slow-start/tests/standing_bound.rs
@@ -90,7 +90,7 @@
         for head in 0..heads {
             if random.random_bool(asked / f64::from(fleet.heads) * STEP / MEAN_UNITS) {
                 let units = random.random_range(1..=3u32).into();
-                views[head].record_due(now, units);
+                views[head].record_demand(now, units);
                 held[head].push_back((now, units, random.random()));
             }
             held[head].retain(|(at, _, _)| now - at < SLOW);
@@ -99,7 +99,7 @@
             let sender = SenderShare { heads: f64::from(fleet.heads), process_share: 1.0 };
             let node = NodeCondition { age_s: age.max(0.0), is_slow: oldest > SLOW };
             let rate = views[head].allowed_rate(&COLD, sender, node, now);
-            let request = WaitingRequest { units, is_due: true, sample };
+            let request = WaitingRequest { units, is_reserved: true, sample };
             let goes = age < 0.0
                 || !fleet.guarded
                 || rate.is_none_or(|rate| views[head].wait_s(&COLD, rate, request, now) <= 0.0);
--- a/src/scheduler/arrivals.rs
+++ b/src/scheduler/arrivals.rs
@@ -43,7 +43,7 @@
         self.enqueue(id);
         if is_reserved {
             let shard = self.requests[id].shard;
-            self.node_queues.get_or_create(shard, self.now).slow_start.record_due(self.now, units);
+            self.node_queues.get_or_create(shard, self.now).slow_start.record_demand(self.now, units);
         }
     }
 
--- a/src/scheduler/node_queue.rs
+++ b/src/scheduler/node_queue.rs
@@ -147,7 +147,7 @@
                 attempt.later_answers += 1;
             }
         }
-        self.slow_start.record_due(now, answer.unreserved_units);
+        self.slow_start.record_demand(now, answer.unreserved_units);
         self.slow_start.record_answer(answer_speed(answer.elapsed_s / tightest_objective_s));
         self.latency.record(answer.class, answer.elapsed_s, now);
         self.window.record_answer(answer.elapsed_s, answer.units);
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -44,7 +44,7 @@
     pub(super) fn wait_s(&self, queue: &mut NodeQueue, rate: f64, pending: &PendingRequest, now: f64) -> f64 {
         let request = WaitingRequest {
             units: pending.request.units,
-            is_due: pending.is_reserved,
+            is_reserved: pending.is_reserved,
             sample: pending.sample,
         };
         queue.slow_start.wait_s(&self.settings, rate, request, now)
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -486,7 +486,7 @@
         self.enqueue(id);
         if reserved {
             let (shard, now) = (self.held[&id].lane, self.now);
-            self.lane(shard).ramp.record_due(now, units);
+            self.lane(shard).ramp.record_demand(now, units);
         }
     }
 
@@ -741,7 +741,7 @@
                 AttemptOutcome::Ok | AttemptOutcome::Error => {
                     (lane.heard, lane.failures) = (now, 0);
                     lane.out.iter_mut().filter(|o| o.at < sent_at).for_each(|o| o.passed += 1);
-                    lane.ramp.record_due(now, undue);
+                    lane.ramp.record_demand(now, undue);
                     lane.ramp.record_answer(match elapsed / self.tightest {
                         quick if quick < PRESSED => AnswerSpeed::Fast,
                         slow if slow > 1.0 => AnswerSpeed::Slow,
@@ -875,7 +875,7 @@
             }
         }
         if let Some(rate) = self.cold_rate(lane) {
-            let request = WaitingRequest { units, is_due: held.reserved, sample: held.draw };
+            let request = WaitingRequest { units, is_reserved: held.reserved, sample: held.draw };
             let wait = self.lanes.get_mut(&shard)?.ramp.wait_s(&self.set.slow_start, rate, request, now);
             if wait > 0.0 {
                 self.blocked_until = self.blocked_until.min(now + wait.max(tick));
