--- a/crates/load-shedding/src/evaluation_window.rs
+++ b/crates/load-shedding/src/evaluation_window.rs
@@ -1,26 +1,26 @@
-//! Evaluations of a condition over a window: no single reading changes a level.
+//! The results of a condition over a sliding window, so that a single reading cannot change a level.
 
 use std::collections::VecDeque;
 
 /// The result of one evaluation of a condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConditionResult {
-    /// It holds.
+    /// The condition holds.
     Holds,
-    /// It does not hold.
+    /// The condition does not hold.
     Fails,
-    /// A reading that it needs is stale or missing.
+    /// A reading that the condition depends on is stale or missing.
     Unknown,
 }
 
-/// One evaluation and when it was made.
+/// The result of one evaluation and its time.
 #[derive(Clone, Copy, Debug)]
 struct TimedResult {
     at: f64,
     result: ConditionResult,
 }
 
-/// The evaluations of one condition in a sliding window. Invariant: `holding` counts the results in `results` that
+/// The results of one condition in a sliding window. Invariant: `holding` is the number of entries of `results` that
 /// are [`ConditionResult::Holds`].
 #[derive(Clone, Debug)]
 pub struct EvaluationWindow {
@@ -32,13 +32,13 @@
 }
 
 impl EvaluationWindow {
-    /// Creates an empty window of `length_s` seconds that needs `min_results` evaluations: a caller that was
-    /// suspended for the length of the window has gathered too little evidence.
+    /// Creates an empty window of `length_s` seconds. It reports a fraction only with at least `min_results` results,
+    /// so that a caller that was suspended for most of the window does not act on the few it has recorded.
     pub fn new(length_s: f64, min_results: usize) -> EvaluationWindow {
         EvaluationWindow { length_s, min_results, results: VecDeque::new(), holding: 0, last_known_at: None }
     }
 
-    /// Records an evaluation and removes those that are older than the window.
+    /// Records a result and removes those that have left the window.
     pub fn record(&mut self, now: f64, result: ConditionResult) {
         if result != ConditionResult::Unknown {
             self.last_known_at = Some(now);
@@ -47,7 +47,7 @@
             self.holding += 1;
         }
         self.results.push_back(TimedResult { at: now, result });
-        // One evaluation from before the window stays: it shows that the window is covered.
+        // The last result from before the window is kept, to show that the results cover the whole window.
         while self.results.get(1).is_some_and(|second| now - second.at >= self.length_s) {
             let removed = self.results.pop_front();
             if removed.is_some_and(|removed| removed.result == ConditionResult::Holds) {
@@ -56,20 +56,20 @@
         }
     }
 
-    /// The fraction of the evaluations at which the condition held, once they cover the window. Unknown results
-    /// count as not holding.
+    /// The fraction of the results for which the condition held, or `None` until the results cover the window.
+    /// [`ConditionResult::Unknown`] counts as not holding.
     pub fn fraction_holding(&self, now: f64) -> Option<f64> {
         let first = self.results.front()?;
         let is_covered = now - first.at >= self.length_s && self.results.len() >= self.min_results;
         is_covered.then(|| self.holding as f64 / self.results.len() as f64)
     }
 
-    /// When the condition was last known, either way.
+    /// Time of the last result that was not [`ConditionResult::Unknown`].
     pub fn last_known_at(&self) -> Option<f64> {
         self.last_known_at
     }
 
-    /// Removes all evaluations: after a change of level only what follows it is evidence.
+    /// Removes all results. Called after a transition, so that only later results can cause the next one.
     pub fn clear(&mut self) {
         self.results.clear();
         self.holding = 0;
--- a/crates/load-shedding/src/lib.rs
+++ b/crates/load-shedding/src/lib.rs
@@ -1,21 +1,21 @@
-//! Load shedding by named levels: which signals are measured, when a level is entered and left, and why.
+//! Load shedding by named levels, which are entered and left when measured signals cross configured thresholds.
 //!
-//! Readings come in with [`LevelManager::record_reading`]; [`LevelManager::evaluate`] evaluates them once a period
-//! and returns the levels that changed; [`LevelManager::admission`] is what the levels in force admit. Nothing here
-//! reads a clock, opens a file or a socket, or knows how requests are served: times are arguments, in seconds on a
-//! monotonic clock of the caller's choice, and the package's `clippy.toml` forbids the rest.
+//! The caller records readings with [`LevelManager::record_reading`]. [`LevelManager::evaluate`] evaluates them once
+//! per period and returns the transitions that it made; [`LevelManager::admission`] returns which requests the levels
+//! in force admit. The crate performs no I/O and reads no clock, which the package's `clippy.toml` enforces: all times
+//! are arguments, in seconds on a monotonic clock chosen by the caller.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`signal`] | the signals, their names in settings, and how old a reading is |
-//! | [`measurement`] | how readings are computed from single events |
-//! | [`settings`] | the escalation policy as operators write it in TOML, and its check |
-//! | [`evaluation_window`] | evaluations of a condition over a window |
+//! | [`signal`] | the signals, their names in settings, and the staleness of their readings |
+//! | [`measurement`] | computes readings from single events |
+//! | [`settings`] | the escalation policies: their TOML form, defaults and validation |
+//! | [`evaluation_window`] | the results of a condition over a sliding window |
 //! | [`level_state`] | the level of one scope: entry, minimum duration, steps down, override |
-//! | [`level_manager`] | all scopes of one head, their history and what they admit |
-//! | [`level_override`] | a level that an operator sets, and its checks |
-//! | [`report`] | what operators are shown |
-//! | [`saved_state`] | what a newer process takes over |
+//! | [`level_manager`] | the levels of all scopes of one head, the combined admission and the transition history |
+//! | [`level_override`] | levels set by an operator, and the validation of such requests |
+//! | [`report`] | the status report for operators |
+//! | [`saved_state`] | the state that is handed over to the next process of the head |
 
 pub mod evaluation_window;
 pub mod level_manager;
--- a/crates/load-shedding/src/measurement/node_silence/tests.rs
+++ b/crates/load-shedding/src/measurement/node_silence/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module's private parts.
+//! Unit tests of the detection of silent nodes.
 
 use super::*;
 
--- a/crates/load-shedding/src/saved_state.rs
+++ b/crates/load-shedding/src/saved_state.rs
@@ -1,41 +1,42 @@
-//! What a newer process takes over, as the file `flaxgap-NAME.levels` holds it. Older processes read what newer ones
-//! write and the other way round, so the `serde` names and forms stay as they are.
+//! The content of the file `flaxgap-NAME.levels`, from which the next process of a head restores its levels. Times are
+//! seconds on the caller's clock. Processes of different versions read each other's files, so the `serde` names and
+//! representations must not change.
 
 use crate::level_override::LevelOverride;
 use crate::report::{LevelTransition, TransitionReason};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The level of one scope.
+/// The saved level of one scope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedLevel {
     /// Name of the level in force.
     #[serde(rename = "level")]
     pub level_name: String,
-    /// Since when.
+    /// When the level was entered.
     pub since: f64,
-    /// Why.
+    /// Why the level is in force.
     #[serde(rename = "why")]
     pub reason: TransitionReason,
-    /// The minimum duration of each level as relapses have made it, by name, in seconds.
+    /// The minimum duration of each level in seconds, including increases after relapses, by level name.
     #[serde(rename = "dwells")]
     pub min_durations: BTreeMap<String, f64>,
-    /// The last step down.
+    /// The last step down, if any.
     #[serde(rename = "stepped")]
     pub last_step_down: Option<SavedStepDown>,
-    /// When the transitions were that count against the limit.
+    /// Times of the transitions that count towards the limit, oldest first.
     #[serde(rename = "recent")]
     pub counted_transitions: Vec<f64>,
-    /// The operator's override, if there is one.
+    /// The operator's override, if one is set.
     #[serde(rename = "pin")]
     pub level_override: Option<LevelOverride>,
 }
 
-/// A step down. Stored as the list `[at, from_level]`.
+/// A step down to the next lower level. Serialized as the list `[at, from_level]`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, String)", into = "(f64, String)")]
 pub struct SavedStepDown {
-    /// When.
+    /// Time of the step.
     pub at: f64,
     /// Name of the level that was left.
     pub from_level: String,
@@ -53,18 +54,18 @@
     }
 }
 
-/// All levels of a head.
+/// The saved levels of a head and its zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedState {
-    /// When this was written.
+    /// When the state was saved.
     #[serde(rename = "written")]
     pub written_at: f64,
     /// The head's level.
     pub head: SavedLevel,
-    /// The zones' levels, by name.
+    /// The zones' levels, by zone name.
     #[serde(rename = "halls")]
     pub zones: BTreeMap<String, SavedLevel>,
-    /// The latest transitions, the oldest first.
+    /// The latest transitions, oldest first.
     #[serde(rename = "changes")]
     pub recent_transitions: Vec<LevelTransition>,
 }
--- a/crates/load-shedding/src/signal.rs
+++ b/crates/load-shedding/src/signal.rs
@@ -1,49 +1,49 @@
-//! The signals of a head, and how old their readings are. A reading that is stale or missing is reported as such: it
-//! counts neither for a level nor against it.
+//! The signals of a head and their latest readings. A stale or missing reading neither enters a level nor leaves one.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a reading or a level belongs to.
+/// The part of the installation that a reading or a level applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Scope {
     /// The whole head.
     Head,
-    /// One zone, by its number.
+    /// The zone with this number.
     Zone(u16),
 }
 
-/// Which request classes a reading is about.
+/// The request classes that a signal covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClassSelector {
-    /// The worst of all classes that have a fresh reading.
+    /// The class with the worst fresh reading.
     Worst,
-    /// One class, by its number.
+    /// The class with this number.
     Class(usize),
 }
 
-/// A quantity that is measured.
+/// A measured quantity that levels can depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Signal {
-    /// Fraction of the work within its volume's reserve that met the latency objective of its class; low is bad.
+    /// Fraction of the requests within their volume's reserve that met the latency objective of their class. The only
+    /// signal of which a low value is bad.
     ObjectiveMet(ClassSelector),
-    /// Mean delay of that work, in multiples of its class's latency objective.
+    /// Mean delay of the requests within their volume's reserve, in multiples of their class's latency objective.
     Delay(ClassSelector),
-    /// Pending requests, as a fraction of the most that clients can have open at this head.
+    /// Pending requests, as a fraction of the maximum that clients can have open at this head.
     Pending,
-    /// Age of the oldest pending request, as a fraction of its client's timeout.
+    /// Highest age of a pending request, as a fraction of its client's timeout.
     OldestPendingAge,
-    /// Nodes that are silent or fail, as a fraction of those whose state is known.
+    /// Silent or failing nodes, as a fraction of the nodes whose state is known.
     NodesLost,
-    /// Seconds since the usage reports last brought something new.
+    /// Seconds since the usage reports of nodes last contained new data.
     ReportLag,
-    /// Fraction of the memory for bodies in use.
+    /// Fraction of the memory for request and response bodies that is in use.
     Memory,
-    /// Fraction of the descriptors in use.
+    /// Fraction of the file descriptors that is in use.
     Descriptors,
-    /// Attempts for each request that was sent at all.
+    /// Mean number of attempts per request, over requests with at least one attempt.
     Attempts,
-    /// Fraction of one core that the scheduler takes.
+    /// CPU time of the scheduler, as a fraction of one core.
     SchedulerCpu,
 }
 
@@ -51,7 +51,7 @@
 const OBJECTIVE_MET_NAME: &str = "aims";
 /// Name of [`Signal::Delay`] in settings and reports.
 const DELAY_NAME: &str = "delay";
-/// Signals without a class, by the name they have in settings and reports.
+/// The signals that are not measured by class, with their names in settings and reports.
 const UNCLASSED_NAMES: [(&str, Signal); 8] = [
     ("held", Signal::Pending),
     ("held_age", Signal::OldestPendingAge),
@@ -63,15 +63,16 @@
     ("module_cpu", Signal::SchedulerCpu),
 ];
 
-/// Highest threshold of a signal that is a fraction.
+/// Highest threshold accepted for a signal that is a fraction.
 const MAX_FRACTION: f64 = 1.0;
-/// Highest threshold of a signal in seconds: an hour.
+/// Highest threshold accepted for a signal in seconds: one hour.
 const MAX_SECONDS: f64 = 3600.0;
-/// Highest threshold of any other signal; higher ones are mistakes.
+/// Highest threshold accepted for all other signals. Higher values are configuration mistakes.
 const MAX_RATIO: f64 = 100.0;
 
 impl Signal {
-    /// Parses a signal's name in settings: `aims` and `delay` for the worst class, `aims.NAME` for one.
+    /// Parses a signal's name in settings. `aims` and `delay` select the worst class, `aims.CLASS` and `delay.CLASS` a
+    /// single one. Returns `None` for an unknown signal or class.
     pub fn parse(name: &str, classes: &[String]) -> Option<Signal> {
         if let Some((_, signal)) = UNCLASSED_NAMES.iter().find(|(known, _)| *known == name) {
             return Some(*signal);
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The signal's name in settings; [`Signal::parse`] reads it back.
+    /// The signal's name in settings, as accepted by [`Signal::parse`].
     pub fn name(self, classes: &[String]) -> String {
         match self {
             Signal::ObjectiveMet(class) => classed_name(OBJECTIVE_MET_NAME, class, classes),
@@ -102,22 +103,22 @@
         }
     }
 
-    /// Whether a low value is the bad one.
+    /// Whether lower values of the signal are worse than higher ones.
     pub fn low_is_bad(self) -> bool {
         matches!(self, Signal::ObjectiveMet(_))
     }
 
-    /// Whether a value is at a threshold or on its bad side.
+    /// Whether a value is at the threshold or on its bad side.
     pub fn is_breached(self, value: f64, threshold: f64) -> bool {
         if self.low_is_bad() { value <= threshold } else { value >= threshold }
     }
 
-    /// Whether a value is at a threshold or on its good side.
+    /// Whether a value is at the threshold or on its good side.
     pub fn is_recovered(self, value: f64, threshold: f64) -> bool {
         if self.low_is_bad() { value >= threshold } else { value <= threshold }
     }
 
-    /// The highest threshold that settings may give; the lowest is 0.
+    /// The highest threshold that settings may specify. The lowest is 0 for all signals.
     pub fn max_threshold(self) -> f64 {
         match self {
             Signal::ObjectiveMet(_) | Signal::NodesLost | Signal::Memory | Signal::Descriptors => {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// The same signal of one class, where the signal has classes.
+    /// The same signal for one class. A signal without classes is returned unchanged.
     fn with_class(self, class: usize) -> Signal {
         match self {
             Signal::ObjectiveMet(_) => Signal::ObjectiveMet(ClassSelector::Class(class)),
@@ -148,24 +149,24 @@
     }
 }
 
-/// A reading as it stands at a moment.
+/// The state of a reading at a given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReadingState {
-    /// Young enough to be used.
+    /// The reading is recent enough to be evaluated.
     Fresh(f64),
-    /// Too old to be used.
+    /// The reading is too old to be evaluated.
     Stale {
         /// The last value.
         value: f64,
-        /// Its age in seconds.
+        /// Age of the reading in seconds.
         age_s: f64,
     },
-    /// Never read.
+    /// The signal has not been read in this scope.
     Missing,
 }
 
 impl ReadingState {
-    /// The value, if it is fresh.
+    /// The value of a fresh reading, `None` for a stale or missing one.
     pub fn fresh_value(self) -> Option<f64> {
         if let ReadingState::Fresh(value) = self { Some(value) } else { None }
     }
@@ -181,7 +182,7 @@
     }
 }
 
-/// One reading.
+/// A recorded value and its time, in seconds.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     value: f64,
@@ -195,7 +196,7 @@
 }
 
 impl Readings {
-    /// Records a reading. One that is not a number, or older than the recorded one, is ignored.
+    /// Records a reading. A value or time that is not finite is ignored, as is a reading older than the recorded one.
     pub fn record(&mut self, scope: Scope, signal: Signal, value: f64, read_at: f64) {
         if !value.is_finite() || !read_at.is_finite() {
             return;
@@ -206,38 +207,38 @@
         }
     }
 
-    /// A reading as it stands now, stale past `stale_s` seconds. For the worst class: the worst fresh reading or,
-    /// where none is fresh, the youngest stale one.
-    pub fn state(&self, scope: Scope, signal: Signal, now: f64, stale_s: f64) -> ReadingState {
+    /// Returns the state of a reading at `now`. Readings older than `stale_after_s` seconds are stale. For
+    /// [`ClassSelector::Worst`], returns the worst fresh reading of any class or, if none is fresh, the most recent one.
+    pub fn state(&self, scope: Scope, signal: Signal, now: f64, stale_after_s: f64) -> ReadingState {
         let (Signal::ObjectiveMet(ClassSelector::Worst) | Signal::Delay(ClassSelector::Worst)) = signal
         else {
-            return self.recorded_state(scope, signal, now, stale_s);
+            return self.recorded_state(scope, signal, now, stale_after_s);
         };
         let all_classes = (scope, signal.with_class(0))..=(scope, signal.with_class(usize::MAX));
         let mut worst = ReadingState::Missing;
         for (_, classed_signal) in self.latest.range(all_classes).map(|(key, _)| *key) {
-            let state = self.recorded_state(scope, classed_signal, now, stale_s);
-            worst = worse(signal, worst, state);
+            let state = self.recorded_state(scope, classed_signal, now, stale_after_s);
+            worst = worse_reading(signal, worst, state);
         }
         worst
     }
 
-    /// The signals that have been read in a scope.
+    /// The signals that have a reading in the scope, fresh or stale.
     pub fn signals(&self, scope: Scope) -> impl Iterator<Item = Signal> {
         self.latest.keys().filter(move |(known, _)| *known == scope).map(|(_, signal)| *signal)
     }
 
-    /// Removes all readings of a scope.
+    /// Removes all readings of the scope.
     pub fn remove_scope(&mut self, scope: Scope) {
         self.latest.retain(|(known, _), _| *known != scope);
     }
 
-    fn recorded_state(&self, scope: Scope, signal: Signal, now: f64, stale_s: f64) -> ReadingState {
+    fn recorded_state(&self, scope: Scope, signal: Signal, now: f64, stale_after_s: f64) -> ReadingState {
         let Some(reading) = self.latest.get(&(scope, signal)) else {
             return ReadingState::Missing;
         };
         let age_s = now - reading.read_at;
-        if age_s <= stale_s {
+        if age_s <= stale_after_s {
             ReadingState::Fresh(reading.value)
         } else {
             ReadingState::Stale { value: reading.value, age_s }
@@ -245,8 +246,9 @@
     }
 }
 
-/// The worse of two readings of a signal; a fresh one counts before a stale one, a younger stale one before an older.
-fn worse(signal: Signal, worst: ReadingState, other: ReadingState) -> ReadingState {
+/// Returns the worse of two readings of a signal. A fresh reading takes precedence over a stale one, and of two stale
+/// readings the more recent one is returned.
+fn worse_reading(signal: Signal, worst: ReadingState, other: ReadingState) -> ReadingState {
     match (worst, other) {
         (ReadingState::Fresh(value), ReadingState::Fresh(other_value)) => {
             let other_is_worse = signal.is_breached(other_value, value);
--- a/crates/load-shedding/src/signal/tests.rs
+++ b/crates/load-shedding/src/signal/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module's private parts.
+//! Unit tests of readings and signal names.
 
 use super::*;
 
