--- a/crates/load-shedding/src/level_manager.rs
+++ b/crates/load-shedding/src/level_manager.rs
@@ -1,4 +1,5 @@
-//! All levels of one head: the head's own and each zone's, what they admit together, and their history.
+//! Manages the levels of one head: the head's own and those of its zones, the combined admission, and the transition
+//! history.
 
 mod status;
 
@@ -10,39 +11,39 @@
 use crate::signal::{Readings, Scope, Signal};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The head's scope in calls, reports and the saved file.
+/// Name of the head's scope in requests, reports and transitions.
 const HEAD_SCOPE: &str = "head";
-/// Transitions that the history keeps for operators.
+/// Maximum number of transitions in the history.
 const HISTORY_LENGTH: usize = 100;
-/// Age in seconds past which the levels that another process saved say nothing of the present.
+/// Maximum age in seconds of saved levels that are restored. Older ones no longer reflect the current load.
 const SAVED_LEVELS_VALID_S: f64 = 10.0;
-/// Seconds without a reading after which a zone at `normal` is forgotten. Zones come with the endpoint list, without
-/// a limit to their number.
-const ZONE_FORGOTTEN_AFTER_S: f64 = 600.0;
+/// Seconds without a reading after which a zone at `normal` is removed. The endpoint list adds zones without a limit
+/// to their number, so the unused ones must not accumulate.
+const ZONE_RETENTION_S: f64 = 600.0;
 
-/// What the levels in force admit.
+/// The requests that the levels in force admit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EffectiveAdmission {
-    /// Of all requests.
+    /// Applies to all requests.
     pub head: AdmissionTable,
-    /// Of the requests that only one zone can serve.
+    /// Applies to the requests that only the zone with this number can serve.
     pub zones: Vec<(u16, AdmissionTable)>,
-    /// When the first of the levels could end at the earliest.
+    /// The earliest time at which one of the levels can end, or the current time if all are `normal`.
     pub earliest_end: f64,
 }
 
-/// How many levels above `normal` are in force.
+/// A summary of the levels in force, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LevelCounts {
-    /// The head's level, 0 for `normal`.
+    /// Number of the head's level, 0 for `normal`.
     pub head_level: usize,
-    /// Zones above `normal`.
+    /// The number of zones above `normal`.
     pub reduced_zones: usize,
-    /// Scopes whose level an operator has set.
+    /// The number of scopes with an operator's override.
     pub overrides: usize,
 }
 
-/// The latest transitions, the oldest first, and how many there were since the start.
+/// The latest transitions, oldest first, and the number of transitions since the start of the process.
 #[derive(Clone, Debug, Default)]
 struct History {
     recent: VecDeque<LevelTransition>,
@@ -53,24 +54,24 @@
     fn record(&mut self, transition: LevelTransition) {
         self.total += 1;
         self.recent.push_back(transition);
-        self.shorten();
+        self.truncate();
     }
 
-    /// Puts what another process left before what happened here.
+    /// Inserts the transitions of an earlier process, oldest first, before those of this process.
     fn prepend(&mut self, mut earlier: Vec<LevelTransition>) {
         earlier.extend(self.recent.drain(..));
         self.recent = earlier.into();
-        self.shorten();
+        self.truncate();
     }
 
-    fn shorten(&mut self) {
+    fn truncate(&mut self) {
         while self.recent.len() > HISTORY_LENGTH {
             self.recent.pop_front();
         }
     }
 }
 
-/// The levels of one head.
+/// The levels of one head and its zones.
 #[derive(Clone, Debug)]
 pub struct LevelManager {
     settings: SheddingSettings,
@@ -82,7 +83,7 @@
 }
 
 impl LevelManager {
-    /// Starts with all levels at `normal`.
+    /// Creates a manager without zones and with the head's level at `normal`.
     pub fn new(settings: SheddingSettings, now: f64) -> LevelManager {
         LevelManager {
             readings: Readings::default(),
@@ -99,13 +100,14 @@
         &self.settings
     }
 
-    /// Records a reading that was made at `read_at`.
+    /// Records a reading that was made at `read_at`. A zone that is not known yet is added at `normal`.
     pub fn record_reading(&mut self, scope: Scope, signal: Signal, value: f64, read_at: f64) {
         self.add_scope(scope, read_at);
         self.readings.record(scope, signal, value, read_at);
     }
 
-    /// Whether a zone has a level of its own: what it does not serve is no load on the head.
+    /// Whether the zone's level is above `normal`. Work that such a zone does not serve is no load on the head, so the
+    /// caller leaves it out of the head's signals.
     pub fn is_zone_reduced(&self, zone: u16) -> bool {
         self.zones.get(&zone).is_some_and(|state| state.level() > 0)
     }
@@ -115,7 +117,7 @@
         self.next_evaluation
     }
 
-    /// Evaluates the readings, if it is time to. Returns the levels that changed.
+    /// Evaluates the readings if the next evaluation is due, and returns the transitions that were made.
     pub fn evaluate(&mut self, now: f64) -> Vec<LevelTransition> {
         if now < self.next_evaluation {
             return Vec::new();
@@ -137,22 +139,23 @@
                 transitions.push((scope, transition));
             }
         }
-        self.forget_silent_zones(now);
-        self.record_all(now, transitions)
+        self.remove_unused_zones(now);
+        self.record_transitions(now, transitions)
     }
 
-    /// Removes zones at `normal` without an override of which nothing has been read for long.
-    fn forget_silent_zones(&mut self, now: f64) {
+    /// Removes zones that are at `normal`, have no override and have not been read for [`ZONE_RETENTION_S`].
+    fn remove_unused_zones(&mut self, now: f64) {
         let readings = &mut self.readings;
         self.zones.retain(|zone, state| {
             let scope = Scope::Zone(*zone);
-            let is_fresh = |signal| readings.state(scope, signal, now, ZONE_FORGOTTEN_AFTER_S).fresh_value();
-            let is_read = readings.signals(scope).any(|signal| is_fresh(signal).is_some());
-            let stays = state.level() > 0 || state.level_override().is_some() || is_read;
-            if !stays {
+            let is_recent =
+                |signal| readings.state(scope, signal, now, ZONE_RETENTION_S).fresh_value().is_some();
+            let has_recent_reading = readings.signals(scope).any(is_recent);
+            let is_retained = state.level() > 0 || state.level_override().is_some() || has_recent_reading;
+            if !is_retained {
                 readings.remove_scope(scope);
             }
-            stays
+            is_retained
         });
     }
 
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Adds a zone that is not known yet, at `normal`. Returns the scope's state.
+    /// Returns the state of a scope. A zone that is not known yet is added at `normal`.
     fn add_scope(&mut self, scope: Scope, now: f64) -> &mut LevelState {
         match scope {
             Scope::Head => &mut self.head,
@@ -196,8 +199,8 @@
         self.state(scope).map_or(String::new(), |state| state.level_name(level).into())
     }
 
-    /// Records a transition in the history.
-    fn record(&mut self, scope: Scope, at: f64, transition: Transition) -> LevelTransition {
+    /// Adds a transition to the history and returns it with the names of its scope and levels.
+    fn record_transition(&mut self, scope: Scope, at: f64, transition: Transition) -> LevelTransition {
         let recorded = LevelTransition {
             at,
             scope: self.scope_name(scope),
@@ -209,19 +212,19 @@
         recorded
     }
 
-    fn record_all(&mut self, at: f64, transitions: Vec<(Scope, Transition)>) -> Vec<LevelTransition> {
+    fn record_transitions(&mut self, at: f64, transitions: Vec<(Scope, Transition)>) -> Vec<LevelTransition> {
         let mut recorded = Vec::new();
         for (scope, transition) in transitions {
-            recorded.push(self.record(scope, at, transition));
+            recorded.push(self.record_transition(scope, at, transition));
         }
         recorded
     }
 
-    /// The scope of a name: `head`, or a zone's.
+    /// Returns the scope with the given name, which is `head` or the name of a zone.
     ///
     /// # Errors
     ///
-    /// The name is neither `head` nor that of a known zone.
+    /// The name is neither `head` nor the name of a zone of the installation.
     pub fn scope(&self, name: &str) -> Result<Scope, OverrideError> {
         if name == HEAD_SCOPE {
             return Ok(Scope::Head);
@@ -234,10 +237,12 @@
         })
     }
 
-    /// Sets a level for an operator, whatever the readings say.
+    /// Sets an operator's override: the scope keeps the requested level until the override expires or is released,
+    /// regardless of the readings.
     ///
     /// # Errors
-    /// A request with a mistake changes nothing.
+    ///
+    /// The note or the duration is invalid, or the scope has no level of the requested name. Nothing is changed then.
     pub fn set_override(
         &mut self,
         now: f64,
@@ -253,13 +258,14 @@
             });
         };
         let transition = state.set_override(now, level, request.starting(now));
-        Ok(self.record(scope, now, transition))
+        Ok(self.record_transition(scope, now, transition))
     }
 
-    /// Ends an override before it expires.
+    /// Releases an override before it expires. The level stays in force until the readings change it.
     ///
     /// # Errors
-    /// The note has a mistake, or there is no override.
+    ///
+    /// The note is invalid, or the scope has no override.
     pub fn release_override(
         &mut self,
         now: f64,
@@ -269,12 +275,12 @@
         note.check()?;
         let transition = self.state_mut(scope).and_then(|state| state.release_override(note.clone()));
         match transition {
-            Some(transition) => Ok(self.record(scope, now, transition)),
+            Some(transition) => Ok(self.record_transition(scope, now, transition)),
             None => Err(OverrideError::NotOverridden { scope: self.scope_name(scope) }),
         }
     }
 
-    /// What the levels in force admit.
+    /// The requests that the levels in force admit.
     pub fn admission(&self, now: f64) -> EffectiveAdmission {
         let mut earliest_end = f64::INFINITY;
         for state in self.states().filter(|state| state.level() > 0) {
@@ -294,7 +300,7 @@
         }
     }
 
-    /// Counts the levels in force.
+    /// Summarizes the levels in force.
     pub fn level_counts(&self) -> LevelCounts {
         LevelCounts {
             head_level: self.head.level(),
@@ -303,12 +309,13 @@
         }
     }
 
-    /// Transitions since the start.
+    /// The number of transitions since the start of the process.
     pub fn total_transitions(&self) -> u64 {
         self.history.total
     }
 
-    /// Puts other settings in force; levels go on under them where they have the same name.
+    /// Replaces the settings and returns the transitions that follow. A scope whose level has the same name in the new
+    /// settings keeps it, otherwise it returns to `normal`.
     pub fn configure(&mut self, settings: SheddingSettings, now: f64) -> Vec<LevelTransition> {
         let mut transitions = Vec::new();
         if let Some(transition) = self.head.configure(settings.head.clone(), now) {
@@ -320,10 +327,10 @@
             }
         }
         self.settings = settings;
-        self.record_all(now, transitions)
+        self.record_transitions(now, transitions)
     }
 
-    /// What a newer process takes over.
+    /// The state that the next process of this head restores.
     pub fn save(&self, now: f64) -> SavedState {
         let mut zones = BTreeMap::new();
         for (zone, state) in &self.zones {
@@ -337,8 +344,8 @@
         }
     }
 
-    /// Takes over what another process saved: the levels if they were saved just now, overrides that have not
-    /// expired, and the history.
+    /// Restores the state that another process saved: overrides that have not expired, the history, and the levels if
+    /// they were saved within the last 10 seconds.
     pub fn restore(&mut self, now: f64, saved: SavedState) {
         let is_recent = (now - saved.written_at).abs() <= SAVED_LEVELS_VALID_S;
         self.head.restore(now, &saved.head, is_recent);
@@ -349,7 +356,8 @@
         self.history.prepend(saved.recent_transitions);
     }
 
-    /// Takes over the overrides alone, as another process of this head has them now.
+    /// Sets and releases overrides as in the state saved by another running process of this head. Levels without a
+    /// change of override are not affected.
     pub fn follow_overrides(&mut self, now: f64, saved: &SavedState) -> Vec<LevelTransition> {
         let mut scopes = vec![(Scope::Head, &saved.head)];
         for (name, saved_level) in &saved.zones {
@@ -364,16 +372,16 @@
                 transitions.push((scope, transition));
             }
         }
-        self.record_all(now, transitions)
+        self.record_transitions(now, transitions)
     }
 
-    /// The scope of a zone's name; none where there is no such zone any more.
+    /// Returns the scope of the zone with this name, or `None` if the zone no longer exists.
     fn zone_scope(&self, name: &str) -> Option<Scope> {
         self.scope(name).ok().filter(|scope| *scope != Scope::Head)
     }
 }
 
-/// Sets or releases a scope's override as another process has it now.
+/// Sets or releases a scope's override to match the one that another process saved.
 fn follow_override(state: &mut LevelState, now: f64, saved: &SavedLevel) -> Option<Transition> {
     let saved_override: Option<LevelOverride> =
         saved.level_override.clone().filter(|level_override| level_override.expires_at > now);
@@ -390,7 +398,7 @@
                 let note = OperatorNote { operator: operator.clone(), reason: reason.clone() };
                 state.release_override(note)
             }
-            // One that expired there expires here by itself.
+            // The override expired in the other process, so it expires in this one too.
             _ => None,
         },
     }
--- a/crates/load-shedding/src/level_manager/status.rs
+++ b/crates/load-shedding/src/level_manager/status.rs
@@ -1,4 +1,4 @@
-//! The report that operators are shown.
+//! Builds the status report for operators.
 
 use super::LevelManager;
 use crate::level_state::LevelState;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 impl LevelManager {
-    /// All that operators are shown.
+    /// Returns the status of the head and its zones at `now`.
     pub fn status(&self, now: f64) -> StatusReport {
         let mut levels = vec![self.level_report(Scope::Head, &self.head, now)];
         for (zone, state) in &self.zones {
@@ -37,7 +37,7 @@
             earliest_end_s: state.earliest_end(now) - now,
             end_conditions: self.end_conditions(scope, state, now),
             transitions_left: state.transitions_left(),
-            readings: self.readings_in_words(scope, state, now),
+            readings: self.describe_readings(scope, state, now),
         }
     }
 
@@ -45,7 +45,7 @@
         self.readings.state(scope, signal, now, self.settings.stale_after_s)
     }
 
-    /// What has to happen for a level to end, one sentence each.
+    /// The conditions under which the level in force ends, one text for each.
     fn end_conditions(&self, scope: Scope, state: &LevelState, now: f64) -> Vec<String> {
         if let Some(level_override) = state.level_override() {
             let left_s = level_override.expires_at - now;
@@ -65,13 +65,13 @@
                 .push(format!("room among the changes allowed, to come back if need be: in {wait_s:.0} s"));
         }
         for condition in &level.leave {
-            conditions.push(leave_condition(condition, self.reading(scope, condition.signal, now)));
+            conditions.push(describe_exit(condition, self.reading(scope, condition.signal, now)));
         }
         conditions
     }
 
-    /// The readings of a scope by the signals' names, with those that the level is left by and that are missing.
-    fn readings_in_words(&self, scope: Scope, state: &LevelState, now: f64) -> BTreeMap<String, String> {
+    /// The readings of a scope as text, by signal name. Includes the missing readings of the level's exit conditions.
+    fn describe_readings(&self, scope: Scope, state: &LevelState, now: f64) -> BTreeMap<String, String> {
         let mut signals: Vec<Signal> = self.readings.signals(scope).collect();
         for condition in state.level_settings().map_or(&[][..], |level| &level.leave) {
             if self.reading(scope, condition.signal, now) == ReadingState::Missing {
@@ -87,7 +87,7 @@
     }
 }
 
-fn leave_condition(condition: &Condition, reading: ReadingState) -> String {
+fn describe_exit(condition: &Condition, reading: ReadingState) -> String {
     let side = if condition.signal.low_is_bad() { "or above" } else { "or below" };
     format!("{} at {} {side}; now {reading}", condition.name, condition.threshold)
 }
--- a/crates/load-shedding/src/level_override.rs
+++ b/crates/load-shedding/src/level_override.rs
@@ -1,16 +1,18 @@
-//! A level that an operator sets for a while, whatever the readings say, and the checks of such a request.
+//! Overrides: levels that an operator sets for a limited time, regardless of the readings, and the validation of such
+//! requests.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest that an override may last, in seconds: a day, so that one that is forgotten ends by the next shift.
+/// Maximum duration of an override, in seconds: one day, so that a forgotten override ends by the next shift.
 pub const MAX_OVERRIDE_S: f64 = 86_400.0;
-/// Shortest override, in seconds.
+/// Minimum duration of an override, in seconds.
 const MIN_OVERRIDE_S: f64 = 1.0;
-/// Longest operator name or reason, in characters: they stand in the history and on log lines.
+/// Maximum length of an operator's name or reason, in characters. Both are kept in the history and logged.
 const MAX_TEXT_CHARS: usize = 200;
 
-/// A level that an operator has set. The `serde` names are those of the saved file and of `GET /ops/levels`.
+/// An override in force. Times are seconds on the caller's clock. The `serde` names are used in the saved file and in
+/// the response to `GET /ops/levels`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LevelOverride {
     /// Name of the operator.
@@ -19,14 +21,14 @@
     /// The operator's reason.
     #[serde(rename = "why")]
     pub reason: String,
-    /// Since when.
+    /// When the override was set.
     pub since: f64,
-    /// When it expires.
+    /// When the override expires.
     #[serde(rename = "until")]
     pub expires_at: f64,
 }
 
-/// Who asks for a change of an override, and why.
+/// The operator who sets or releases an override, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorNote {
     /// Name of the operator.
@@ -36,34 +38,35 @@
 }
 
 impl OperatorNote {
-    /// Checks that both texts are given and fit on a log line.
+    /// Checks that both texts are present and can be logged on one line.
     ///
     /// # Errors
     ///
-    /// A text is empty, too long, or has control characters.
+    /// A text is empty, too long or contains control characters.
     pub fn check(&self) -> Result<(), OverrideError> {
         check_text("who", &self.operator)?;
         check_text("why", &self.reason)
     }
 }
 
-/// A request to set a level.
+/// A request to set an override.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverrideRequest {
     /// Name of the level.
     pub level_name: String,
-    /// How long it lasts, in seconds.
+    /// Duration of the override, in seconds.
     pub duration_s: f64,
-    /// Who asks, and why.
+    /// The operator and the reason.
     pub note: OperatorNote,
 }
 
 impl OverrideRequest {
-    /// Checks the texts and the duration; the level's name is checked against the scope's levels.
+    /// Checks the note and the duration. The level's name is checked by
+    /// [`LevelManager::set_override`](crate::LevelManager::set_override), which knows the scope's levels.
     ///
     /// # Errors
     ///
-    /// A text is empty, too long or has control characters, or the duration is too short or too long.
+    /// A text of the note is empty, too long or contains control characters, or the duration is out of range.
     pub fn check(&self) -> Result<(), OverrideError> {
         self.note.check()?;
         if (MIN_OVERRIDE_S..=MAX_OVERRIDE_S).contains(&self.duration_s) {
@@ -73,7 +76,7 @@
         }
     }
 
-    /// The override that is in force from now on.
+    /// The override that this request puts in force at `now`.
     pub fn starting(&self, now: f64) -> LevelOverride {
         LevelOverride {
             operator: self.note.operator.clone(),
@@ -84,7 +87,7 @@
     }
 }
 
-/// Why an operator's request was rejected. All are mistakes in the request.
+/// The reason for which an operator's request was rejected. All variants are mistakes in the request.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum OverrideError {
     /// The scope has no level of this name.
@@ -95,7 +98,7 @@
         /// The names of the scope's levels.
         known: String,
     },
-    /// There is no zone of this name.
+    /// The installation has no zone of this name.
     #[error("no hall {zone_name:?}; known are {known}")]
     UnknownZone {
         /// The requested name.
@@ -103,16 +106,16 @@
         /// The names of all zones.
         known: String,
     },
-    /// The operator's name or reason is missing, too long, or not plain text.
+    /// The operator's name or reason is empty, too long or contains control characters.
     #[error("{parameter} has to be said, in 1 to {MAX_TEXT_CHARS} characters")]
     InvalidText {
-        /// The parameter's name.
+        /// Name of the request's parameter.
         parameter: &'static str,
     },
     /// The duration is out of range.
     #[error("a pin lasts from 1 to {MAX_OVERRIDE_S} seconds")]
     InvalidDuration,
-    /// There is no override to release.
+    /// The scope has no override to release.
     #[error("nobody holds the level of {scope}")]
     NotOverridden {
         /// `head`, or the zone's name.
@@ -121,8 +124,11 @@
 }
 
 fn check_text(parameter: &'static str, text: &str) -> Result<(), OverrideError> {
-    let is_given = !text.trim().is_empty();
-    let fits = text.chars().count() <= MAX_TEXT_CHARS;
-    let is_plain = text.chars().all(|c| !c.is_control());
-    if is_given && fits && is_plain { Ok(()) } else { Err(OverrideError::InvalidText { parameter }) }
+    let is_blank = text.trim().is_empty();
+    let is_too_long = text.chars().count() > MAX_TEXT_CHARS;
+    let has_control_characters = text.chars().any(char::is_control);
+    if is_blank || is_too_long || has_control_characters {
+        return Err(OverrideError::InvalidText { parameter });
+    }
+    Ok(())
 }
--- a/crates/load-shedding/src/measurement/mod.rs
+++ b/crates/load-shedding/src/measurement/mod.rs
@@ -1,4 +1,5 @@
-//! How readings are computed from single events. Each type keeps no more than its span or its nodes need.
+//! Computes readings from single events. The memory use of each type is bounded by its time span or by the number of
+//! nodes.
 
 pub mod node_silence;
 pub mod report_lag;
--- a/crates/load-shedding/src/measurement/sliding_sums.rs
+++ b/crates/load-shedding/src/measurement/sliding_sums.rs
@@ -1,13 +1,14 @@
-//! Sums over a sliding span, for fractions and means.
+//! Sums over a sliding time span, from which fractions and means are computed.
 
 use std::collections::VecDeque;
 
-/// A counted sum and the total that it is a part of, such as requests served in time and all requests.
+/// A sum and the total that it is divided by, such as the requests served in time and all requests, or the sum of
+/// delays and the number of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sums {
-    /// What was counted.
+    /// The numerator of the ratio.
     pub counted: f64,
-    /// What it was counted of.
+    /// The denominator of the ratio.
     pub total: f64,
 }
 
@@ -23,14 +24,15 @@
     }
 }
 
-/// The sums of one step of the span.
+/// The sums of one time step of the span.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     started_at: f64,
     sums: Sums,
 }
 
-/// Sums over the last seconds, kept in steps. Invariant: `sums` is the sum over `steps`, but for rounding.
+/// Sums over a sliding span that is divided into time steps. Invariant: `sums` is the sum over `steps`, apart from
+/// rounding errors.
 #[derive(Clone, Debug)]
 pub struct SlidingSums {
     span_s: f64,
@@ -40,12 +42,12 @@
 }
 
 impl SlidingSums {
-    /// Creates empty sums over the last `span_s` seconds in steps of `step_s` seconds.
+    /// Creates empty sums over the last `span_s` seconds, divided into steps of `step_s` seconds.
     pub fn new(span_s: f64, step_s: f64) -> SlidingSums {
         SlidingSums { span_s, step_s, steps: VecDeque::new(), sums: Sums::default() }
     }
 
-    /// Adds to both sums.
+    /// Adds `counted` and `total` to the sums at `now`.
     pub fn add(&mut self, now: f64, counted: f64, total: f64) {
         let added = Sums { counted, total };
         self.sums.add(added);
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Both sums over the span that ends now.
+    /// Returns the sums over the span that ends at `now`.
     pub fn sums(&mut self, now: f64) -> Sums {
         while let Some(oldest) = self.steps.front() {
             if now - oldest.started_at <= self.span_s {
@@ -65,13 +67,13 @@
             self.steps.pop_front();
         }
         if self.steps.is_empty() {
-            // Rounding errors must not add up over days.
+            // Discards rounding errors, which would otherwise accumulate over days.
             self.sums = Sums::default();
         }
         self.sums
     }
 
-    /// The counted fraction of the total, if the total is at least `min_total`.
+    /// Returns `counted` divided by `total`, or `None` if the total is 0 or less than `min_total`.
     pub fn ratio(&mut self, now: f64, min_total: f64) -> Option<f64> {
         let sums = self.sums(now);
         let is_enough = sums.total >= min_total && sums.total > 0.0;
--- a/crates/load-shedding/src/report.rs
+++ b/crates/load-shedding/src/report.rs
@@ -1,40 +1,41 @@
-//! What operators are shown of levels: the body of `GET /ops/levels` and the history. Times are seconds on the
-//! caller's clock. The `serde` names are the words of that body and of the file that a newer process reads; they
-//! stay as they are.
+//! The status report for operators: the response body of `GET /ops/levels`, including the transition history. Times
+//! are seconds on the caller's clock. The `serde` names are part of that response and of the file that the next
+//! process reads, so they must not change.
 
 use crate::level_override::LevelOverride;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Why a level is in force.
+/// Why a level is in force, or why a transition was made.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind")]
 pub enum TransitionReason {
-    /// Nothing has happened since the start.
+    /// The initial state: there has been no transition since the start.
     #[serde(rename = "start")]
     Initial,
-    /// A condition to enter the level held over its window.
+    /// An entry condition of the level held over its window.
     #[serde(rename = "pressed")]
     ThresholdBreached {
-        /// The signal's name.
+        /// Name of the signal.
         signal: String,
-        /// Its value at the time.
+        /// The signal's value at the transition.
         value: f64,
-        /// The threshold that it was past.
+        /// The threshold of the condition.
         threshold: f64,
-        /// The fraction of the evaluations at which the condition held.
+        /// The fraction of the evaluations in the window for which the condition held.
         #[serde(rename = "part")]
         fraction: f64,
     },
-    /// All conditions to leave the level above held over their window.
+    /// All exit conditions of the next higher level held over their window.
     #[serde(rename = "eased")]
     Recovered {
-        /// The signals at the time.
+        /// The signals of the exit conditions at the transition.
         #[serde(rename = "figures")]
         signals: Vec<RecoveredSignal>,
     },
-    /// No reading was fresh for so long that the level above was left as a trial.
+    /// The next higher level was left on trial, because its exit conditions had no fresh readings for the configured
+    /// time.
     #[serde(rename = "blind")]
     NoReadings {
         /// Seconds without a fresh reading.
@@ -53,37 +54,37 @@
         #[serde(rename = "until")]
         expires_at: f64,
     },
-    /// An override expired; readings decide again.
+    /// An override expired, so that the readings determine the level again.
     #[serde(rename = "lapsed")]
     OverrideExpired {
-        /// Name of the operator who had set it.
+        /// Name of the operator who had set the override.
         #[serde(rename = "who")]
         operator: String,
     },
-    /// An operator released an override; readings decide again.
+    /// An operator released an override, so that the readings determine the level again.
     #[serde(rename = "released")]
     OverrideReleased {
-        /// Name of the operator who released it.
+        /// Name of the operator who released the override.
         #[serde(rename = "who")]
         operator: String,
         /// The operator's reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// New settings have no level of that name.
+    /// The settings changed and no longer contain the level that was in force.
     #[serde(rename = "settings")]
     NotInSettings,
 }
 
-/// A signal that is on the good side of its threshold. Stored as the list `[signal, value, threshold]`.
+/// A signal on the good side of its exit threshold. Serialized as the list `[signal, value, threshold]`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(String, f64, f64)", into = "(String, f64, f64)")]
 pub struct RecoveredSignal {
-    /// The signal's name.
+    /// Name of the signal.
     pub signal: String,
-    /// Its value at the time.
+    /// The signal's value at the transition.
     pub value: f64,
-    /// The threshold to leave the level by.
+    /// The exit threshold.
     pub threshold: f64,
 }
 
@@ -128,18 +129,18 @@
     }
 }
 
-/// One change of level, or of its override, in the history.
+/// A change of a scope's level or override, as kept in the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LevelTransition {
-    /// When.
+    /// Time of the transition.
     pub at: f64,
     /// `head`, or the zone's name.
     pub scope: String,
-    /// The level before.
+    /// Name of the previous level.
     pub from: String,
-    /// The level since; the same where only the override changed.
+    /// Name of the new level, which equals `from` if only the override changed.
     pub to: String,
-    /// Why.
+    /// Why the transition was made.
     #[serde(rename = "why")]
     pub reason: TransitionReason,
 }
@@ -150,7 +151,7 @@
     }
 }
 
-/// The level of one scope as operators see it.
+/// The status of one scope.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LevelReport {
     /// `head`, or the zone's name.
@@ -158,51 +159,51 @@
     /// Name of the level in force.
     #[serde(rename = "level")]
     pub level_name: String,
-    /// Its number, 0 for `normal`.
+    /// Number of the level, 0 for `normal`.
     #[serde(rename = "rung")]
     pub level: usize,
-    /// Since when.
+    /// When the level was entered.
     pub since: f64,
-    /// Seconds that it has been in force.
+    /// Seconds since the level was entered.
     #[serde(rename = "for_s")]
     pub in_force_s: f64,
-    /// The reason in words.
+    /// Why the level is in force, as text.
     #[serde(rename = "why")]
     pub reason_text: String,
-    /// The reason.
+    /// Why the level is in force, as structured data.
     pub reason: TransitionReason,
-    /// The operator's override, if there is one.
+    /// The operator's override, if one is set.
     #[serde(rename = "pin")]
     pub level_override: Option<LevelOverride>,
-    /// Seconds until the level could end at the earliest.
+    /// Seconds until the earliest time at which the level can end.
     #[serde(rename = "soonest_s")]
     pub earliest_end_s: f64,
-    /// What has to happen for the level to end, in words.
+    /// The conditions under which the level ends, as text.
     #[serde(rename = "ends")]
     pub end_conditions: Vec<String>,
-    /// Transitions left of those allowed in the present span.
+    /// The number of transitions that the limit still allows in the current span.
     #[serde(rename = "changes_left")]
     pub transitions_left: usize,
-    /// Each signal's reading, in words.
+    /// The state of each signal's reading as text, by signal name.
     pub readings: BTreeMap<String, String>,
 }
 
-/// All levels of a head as operators see them.
+/// The status of a head and its zones.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StatusReport {
-    /// The time of the report.
+    /// When the report was made.
     pub now: f64,
-    /// The head's level first, then the zones'.
+    /// The status of the head, followed by that of each zone.
     pub levels: Vec<LevelReport>,
-    /// The names of the head's levels, the mildest first.
+    /// The names of the head's levels, from `normal` to the most restrictive.
     pub head_levels: Vec<String>,
-    /// The names of a zone's levels, the mildest first.
+    /// The names of a zone's levels, from `normal` to the most restrictive.
     #[serde(rename = "hall_levels")]
     pub zone_levels: Vec<String>,
-    /// Transitions since the start.
+    /// The number of transitions since the start of the process.
     #[serde(rename = "changes_total")]
     pub total_transitions: u64,
-    /// The latest transitions, the newest first.
+    /// The latest transitions, newest first.
     #[serde(rename = "changes")]
     pub recent_transitions: Vec<LevelTransition>,
 }
