--- a/crates/load-shedding/src/level_state.rs
+++ b/crates/load-shedding/src/level_state.rs
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Sets the minimum duration of a level that is about to be entered. After a relapse this is [`RELAPSE_FACTOR`] times
-    /// that of the level that was left last, otherwise the configured one.
+    /// Sets the minimum duration of a level that is about to be entered. After a relapse this is [`RELAPSE_FACTOR`]
+    /// times that of the level that was left last, otherwise the configured one.
     fn update_min_duration(&mut self, now: f64, level: usize) {
         let configured_s = self.policy.levels[level - 1].min_duration_s;
         self.min_durations[level - 1] = match self.relapsed_from(now) {
@@ -363,8 +363,8 @@
         Some(self.end_override(TransitionReason::OverrideReleased { operator, reason }))
     }
 
-    /// Replaces the policy. The level stays in force if the new policy has a level of the same name, otherwise the scope
-    /// returns to `normal`.
+    /// Replaces the policy. The level stays in force if the new policy has a level of the same name, otherwise the
+    /// scope returns to `normal`.
     pub fn configure(&mut self, policy: EscalationPolicy, now: f64) -> Option<Transition> {
         let saved = self.save();
         let from = self.level;
--- a/crates/load-shedding/src/measurement/node_silence.rs
+++ b/crates/load-shedding/src/measurement/node_silence.rs
@@ -56,8 +56,8 @@
 }
 
 impl NodeSilence {
-    /// Creates a tracker without nodes. A node is lost once it has not answered an attempt for `silent_after_s` seconds.
-    /// Its state is known for `known_for_s` seconds after its last answer or the end of its last attempt.
+    /// Creates a tracker without nodes. A node is lost once it has not answered an attempt for `silent_after_s`
+    /// seconds. Its state is known for `known_for_s` seconds after its last answer or the end of its last attempt.
     pub fn new(silent_after_s: f64, known_for_s: f64) -> NodeSilence {
         NodeSilence { silent_after_s, known_for_s, nodes: BTreeMap::new() }
     }
--- a/crates/load-shedding/src/settings/check.rs
+++ b/crates/load-shedding/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks a `[levels]` table against the names of the installation.
+//! Validates a `[levels]` table against the names of the installation.
 
 use super::defaults;
 use super::file::{LevelsFile, PolicyFile, SpannedNumber};
@@ -6,37 +6,37 @@
 use std::ops::{Range, RangeInclusive};
 use toml::Spanned;
 
-/// Longest time that a window, a span or an age may have, in seconds: ten minutes.
+/// Upper bound of windows, spans and ages, in seconds: ten minutes.
 const MAX_SPAN_S: f64 = 600.0;
-/// Longest minimum duration, and longest time without readings, in seconds: an hour.
+/// Upper bound of a level's minimum duration and of the time without readings, in seconds: one hour.
 pub(super) const MAX_DURATION_S: f64 = 3600.0;
-/// Longest span that transitions are counted over, in seconds: a day.
+/// Upper bound of the span over which transitions are counted, in seconds: one day.
 const MAX_TRANSITION_SPAN_S: f64 = 86_400.0;
-/// Most transitions that may be allowed in a span.
+/// Upper bound of the number of transitions allowed in a span.
 const MAX_TRANSITIONS: f64 = 1000.0;
 
-/// Checks one file's table against its text, for the line numbers.
+/// Validates the table of one file.
 pub(super) struct FileChecker<'a> {
-    /// The whole file's text.
+    /// The text of the whole file, from which line numbers are determined.
     pub(super) text: &'a str,
-    /// The names of the installation.
+    /// The names of the installation's classes, plans and zones.
     pub(super) names: &'a Names,
 }
 
 impl FileChecker<'_> {
-    /// Checks all but [`FileChecker::check_staleness`].
+    /// Validates the table and fills in the defaults. Does not include [`FileChecker::check_staleness`].
     pub(super) fn settings(
         &self,
         file: &LevelsFile,
         writes: &[bool],
     ) -> Result<SheddingSettings, SheddingSettingsError> {
         let period_s = self.number(&file.period_s, "levels.period_s", 0.25, 0.05..=10.0)?;
-        let up_to_span = || period_s..=MAX_SPAN_S;
+        let span_range = || period_s..=MAX_SPAN_S;
         let stale_after_s =
-            self.number(&file.stale_after_s, "levels.stale_s", 2.0 * period_s, up_to_span())?;
-        let node_known_for_s = self.number(&file.node_known_for_s, "levels.recent_s", 3.0, up_to_span())?;
+            self.number(&file.stale_after_s, "levels.stale_s", 2.0 * period_s, span_range())?;
+        let node_known_for_s = self.number(&file.node_known_for_s, "levels.recent_s", 3.0, span_range())?;
         let default_span_s = f64::max(2.0, 2.0 * period_s);
-        let span_s = self.number(&file.span_s, "levels.span_s", default_span_s, up_to_span())?;
+        let span_s = self.number(&file.span_s, "levels.span_s", default_span_s, span_range())?;
         let min_requests = self.number(&file.min_requests, "levels.least_requests", 10.0, 1.0..=1e6)?;
         let silent_after_s = self.number(&file.silent_after_s, "levels.silent_after_s", 0.6, 0.05..=60.0)?;
 
@@ -62,24 +62,27 @@
         })
     }
 
-    /// Checks that readings go stale before one of them alone, evaluated again and again, is evidence.
+    /// Checks that readings go stale early enough: a single reading must not hold a condition in enough evaluations to
+    /// change a level by itself.
     pub(super) fn check_staleness(
         &self,
         file: &LevelsFile,
         settings: &SheddingSettings,
         policy: &EscalationPolicy,
     ) -> Result<(), SheddingSettingsError> {
-        let most = policy.required_fraction * policy.window_s - settings.period_s;
+        let max_stale_after_s = policy.required_fraction * policy.window_s - settings.period_s;
         let stale_after_s = settings.stale_after_s;
-        if stale_after_s <= most {
+        if stale_after_s <= max_stale_after_s {
             return Ok(());
         }
         let at = file.stale_after_s.as_ref().map_or(0..0, Spanned::span);
-        let problem =
-            format!("{stale_after_s} is over {most:.3}, so that one reading would be evidence alone");
+        let problem = format!(
+            "{stale_after_s} is over {max_stale_after_s:.3}, so that one reading would be evidence alone"
+        );
         self.fail(at, "levels.stale_s", problem)
     }
 
+    /// Returns an error for the value at `at`, a byte range of the file's text.
     pub(super) fn fail<T>(
         &self,
         at: Range<usize>,
@@ -90,7 +93,7 @@
         Err(SheddingSettingsError { line, key: key.into(), problem: problem.into() })
     }
 
-    /// The names of the classes that change data.
+    /// The names of the classes whose requests change data.
     fn write_classes(&self, writes: &[bool]) -> Vec<String> {
         let mut names = Vec::new();
         for (class, name) in self.names.classes.iter().enumerate() {
@@ -101,20 +104,20 @@
         names
     }
 
-    /// A number from the file, or the default where the file has none.
+    /// Returns a number from the file, which must be within the range, or the default if the file does not specify it.
     pub(super) fn number(
         &self,
-        from: &Option<SpannedNumber>,
+        specified: &Option<SpannedNumber>,
         key: &str,
         default: f64,
         range: RangeInclusive<f64>,
     ) -> Result<f64, SheddingSettingsError> {
-        let Some(found) = from else { return Ok(default) };
-        let value = *found.get_ref();
+        let Some(specified) = specified else { return Ok(default) };
+        let value = *specified.get_ref();
         if range.contains(&value) {
             return Ok(value);
         }
-        self.fail(found.span(), key, format!("{value} is not from {} to {}", range.start(), range.end()))
+        self.fail(specified.span(), key, format!("{value} is not from {} to {}", range.start(), range.end()))
     }
 
     fn policy(
@@ -125,12 +128,12 @@
         defaults: &EscalationPolicy,
     ) -> Result<EscalationPolicy, SheddingSettingsError> {
         let number =
-            |from, name: &str, default, range| self.number(from, &format!("{key}.{name}"), default, range);
+            |value, name: &str, default, range| self.number(value, &format!("{key}.{name}"), default, range);
         let min_window_s = defaults::MIN_WINDOW_PERIODS * defaults.period_s;
         let window_s = number(&file.window_s, "window_s", defaults.window_s, min_window_s..=MAX_SPAN_S)?;
-        let up_to_duration = || window_s..=MAX_DURATION_S;
+        let duration_range = || window_s..=MAX_DURATION_S;
         let default_duration_s = defaults::MIN_DURATION_S.max(window_s);
-        let min_duration_s = number(&file.min_duration_s, "dwell_s", default_duration_s, up_to_duration())?;
+        let min_duration_s = number(&file.min_duration_s, "dwell_s", default_duration_s, duration_range())?;
         let required_fraction =
             number(&file.required_fraction, "evidence", defaults.required_fraction, 0.5..=1.0)?;
         let max_min_duration_s = number(
@@ -143,7 +146,7 @@
             &file.no_readings_after_s,
             "blind_s",
             defaults.no_readings_after_s.max(window_s),
-            up_to_duration(),
+            duration_range(),
         )?;
         let transition_span_s = number(
             &file.transition_span_s,
@@ -168,7 +171,7 @@
         })
     }
 
-    /// The limit on transitions: the highest level can be entered and left again.
+    /// The limit on transitions, which must allow an entry to the highest level and all steps down from it.
     fn max_transitions(
         &self,
         file: &PolicyFile,
@@ -176,15 +179,15 @@
         levels: usize,
         defaults: &EscalationPolicy,
     ) -> Result<usize, SheddingSettingsError> {
-        let least = (levels + 1) as f64;
-        let default = (defaults.max_transitions as f64).max(least);
+        let min = (levels + 1) as f64;
+        let default = (defaults.max_transitions as f64).max(min);
         let key = format!("{policy_key}.changes");
-        let max_transitions = self.number(&file.max_transitions, &key, default, least..=MAX_TRANSITIONS)?;
+        let max_transitions = self.number(&file.max_transitions, &key, default, min..=MAX_TRANSITIONS)?;
         Ok(max_transitions as usize)
     }
 }
 
-/// The program's own levels, read as an operator's are.
+/// Parses and validates the built-in levels in the same way as those of a file.
 fn built_in_levels(
     text: &str,
     names: &Names,
@@ -195,7 +198,7 @@
     Ok(policy.levels)
 }
 
-/// The error of a text that is not a `[levels]` table at all.
+/// Converts an error of the TOML parser.
 pub(super) fn malformed(text: &str, error: &toml::de::Error) -> SheddingSettingsError {
     let start = error.span().map_or(0, |span| span.start);
     SheddingSettingsError {
@@ -205,7 +208,7 @@
     }
 }
 
-/// The number of the line that holds the byte at `offset`, from 1.
+/// The number of the line that contains the byte at `offset`, starting at 1.
 fn line_number(text: &str, offset: usize) -> usize {
     1 + text.get(..offset).unwrap_or_default().matches('\n').count()
 }
--- a/crates/load-shedding/src/settings/check_level.rs
+++ b/crates/load-shedding/src/settings/check_level.rs
@@ -1,4 +1,4 @@
-//! Checks the `[[level]]` tables of a policy.
+//! Validates the `[[level]]` tables of a policy.
 
 use super::check::{FileChecker, MAX_DURATION_S};
 use super::file::{AdmissionFile, LevelFile, SpannedNumber, SpannedText};
@@ -8,20 +8,20 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// What a level may not differ from, or takes where the file is silent.
+/// The settings around a level that its validation depends on.
 struct LevelContext<'a> {
-    /// The level's path in the file.
+    /// Path of the level in the file.
     key: String,
-    /// What the level below admits.
-    below: &'a AdmissionTable,
-    /// The policy's minimum duration.
+    /// The admission of the next lower level, which this level may only restrict further.
+    lower_admission: &'a AdmissionTable,
+    /// The policy's minimum duration in seconds: the default for this level.
     min_duration_s: f64,
-    /// The policy's window.
+    /// The policy's window in seconds: the lower bound of this level's minimum duration.
     window_s: f64,
 }
 
 impl FileChecker<'_> {
-    /// Checks the levels of the policy at `policy_key`, the mildest first.
+    /// Validates the levels of the policy at `policy_key`, from the least to the most restrictive.
     pub(super) fn levels(
         &self,
         files: &[Spanned<LevelFile>],
@@ -33,10 +33,10 @@
         let mut levels: Vec<LevelSettings> = Vec::new();
         for (index, file) in files.iter().enumerate() {
             let key = format!("{policy_key}.level[{index}]");
-            let below = levels.last().map_or(&normal, |level| &level.admission);
-            let context = LevelContext { key: key.clone(), below, min_duration_s, window_s };
+            let lower_admission = levels.last().map_or(&normal, |level| &level.admission);
+            let context = LevelContext { key: key.clone(), lower_admission, min_duration_s, window_s };
             let level = self.level(file, &context)?;
-            if levels.iter().any(|known| known.name == level.name) {
+            if levels.iter().any(|lower| lower.name == level.name) {
                 let at = file.get_ref().name.span();
                 return self.fail(at, format!("{key}.name"), format!("{} is there twice", level.name));
             }
@@ -93,8 +93,8 @@
         let mut table = AdmissionTable::admit_all(self.names);
         for file in files {
             let file = file.get_ref();
-            let classes = self.numbers_of(&file.classes, &self.names.classes, &key, "class")?;
-            let plans = self.numbers_of(&file.plans, &self.names.plans, &key, "plan")?;
+            let classes = self.resolve_names(&file.classes, &self.names.classes, &key, "class")?;
+            let plans = self.resolve_names(&file.plans, &self.names.plans, &key, "plan")?;
             for class in classes {
                 for plan in &plans {
                     table.restrict(class, *plan, file.admission);
@@ -104,7 +104,7 @@
         Ok(table)
     }
 
-    /// Checks that a level restricts something, and nothing less than the level below.
+    /// Checks that a level restricts at least one class on one plan, and none less than the next lower level does.
     fn check_admission(
         &self,
         admission: &AdmissionTable,
@@ -117,8 +117,8 @@
         }
         for (class, class_name) in self.names.classes.iter().enumerate() {
             for (plan, plan_name) in self.names.plans.iter().enumerate() {
-                let admitted = admission.admission(class, plan);
-                if admitted < context.below.admission(class, plan) {
+                let lower_admission = context.lower_admission.admission(class, plan);
+                if admission.admission(class, plan) < lower_admission {
                     let problem =
                         format!("lets more of {class_name} on {plan_name} pass than the level below");
                     return self.fail(span.clone(), key, problem);
@@ -130,27 +130,27 @@
 
     fn conditions(
         &self,
-        from: &BTreeMap<String, SpannedNumber>,
+        thresholds: &BTreeMap<String, SpannedNumber>,
         key: &str,
     ) -> Result<Vec<Condition>, SheddingSettingsError> {
         let mut conditions = Vec::new();
-        for (name, value) in from {
+        for (name, value) in thresholds {
             let key = format!("{key}.{name}");
             let threshold = *value.get_ref();
             let Some(signal) = Signal::parse(name, &self.names.classes) else {
                 return self.fail(value.span(), key, "no such signal, or an unknown class");
             };
-            let highest = signal.max_threshold();
-            if !(0.0..=highest).contains(&threshold) {
-                return self.fail(value.span(), key, format!("{threshold} is not from 0 to {highest}"));
+            let max = signal.max_threshold();
+            if !(0.0..=max).contains(&threshold) {
+                return self.fail(value.span(), key, format!("{threshold} is not from 0 to {max}"));
             }
             conditions.push(Condition { name: name.clone(), signal, threshold });
         }
         Ok(conditions)
     }
 
-    /// Checks that a level can be left, and that each signal that it is entered by has a gap between its two
-    /// thresholds.
+    /// Checks that a level has exit conditions, and that each signal with an entry threshold also has an exit threshold
+    /// on the good side of it, with a gap between the two.
     fn check_hysteresis(
         &self,
         file: &LevelFile,
@@ -181,17 +181,18 @@
         Ok(())
     }
 
-    /// The numbers of some names; all where none are named.
-    fn numbers_of(
+    /// Returns the number of each listed class or plan, or of all known ones if there is no list. `kind` is the noun
+    /// for error messages.
+    fn resolve_names(
         &self,
-        named: &Option<Vec<SpannedText>>,
+        listed: &Option<Vec<SpannedText>>,
         known: &[String],
         key: &str,
         kind: &str,
     ) -> Result<Vec<usize>, SheddingSettingsError> {
-        let Some(named) = named else { return Ok((0..known.len()).collect()) };
+        let Some(listed) = listed else { return Ok((0..known.len()).collect()) };
         let mut numbers = Vec::new();
-        for name in named {
+        for name in listed {
             let Some(number) = known.iter().position(|known| known == name.get_ref()) else {
                 let known = known.join(", ");
                 let problem = format!("unknown {kind} {:?}; known are {known}", name.get_ref());
--- a/crates/load-shedding/src/settings/defaults.rs
+++ b/crates/load-shedding/src/settings/defaults.rs
@@ -1,10 +1,11 @@
-//! The levels and figures that apply where a file has none.
+//! The levels and values that apply where a file specifies none.
 
 use super::EscalationPolicy;
 
-/// Stands in [`HEAD_LEVELS`] for the names of the classes that change data.
+/// Placeholder in [`HEAD_LEVELS`] for the names of the classes whose requests change data.
 const WRITE_CLASSES: &str = "WRITE_CLASSES";
 
+/// The head's default levels in TOML.
 const HEAD_LEVELS: &str = r#"
 [[level]]
 name = "trim"
@@ -25,7 +26,7 @@
 leave = { aims = 0.9, held = 0.5 }
 "#;
 
-/// The levels of each zone, as a file would have them.
+/// A zone's default levels in TOML.
 pub(super) const ZONE_LEVELS: &str = r#"
 [[level]]
 name = "hall-returning"
@@ -41,31 +42,34 @@
 dwell_s = 2.0
 "#;
 
-/// Evaluations that fit a window at least: one alone is no evidence.
+/// Minimum length of a window, in evaluation periods. A single evaluation must not be enough to change a level.
 pub(super) const MIN_WINDOW_PERIODS: f64 = 2.0;
-/// Minimum duration of a level, in seconds: load that swings within a few seconds must not swing a level.
+/// Minimum duration of a level, in seconds. Load that oscillates within a few seconds must not make the level
+/// oscillate.
 pub(super) const MIN_DURATION_S: f64 = 15.0;
 /// Window of the head's policy, in seconds.
 const HEAD_WINDOW_S: f64 = 3.0;
-/// Window of a zone's policy, in seconds: shorter, since a zone that is cut off shows at all its nodes at once.
+/// Window of a zone's policy, in seconds. It is shorter than the head's, since the loss of a whole zone shows at all of
+/// its nodes at once.
 const ZONE_WINDOW_S: f64 = 1.5;
-/// Transitions of the head in a span: three entries and steps down would be a swing.
+/// Maximum number of transitions of the head in a span. It allows fewer than three entries with a step down each, which
+/// would be an oscillation.
 const HEAD_MAX_TRANSITIONS: usize = 4;
-/// Transitions of a zone in a span: a cut takes three.
+/// Maximum number of transitions of a zone in a span. The loss of a zone and its return take three.
 const ZONE_MAX_TRANSITIONS: usize = 9;
 
-/// The levels of the head, as a file would have them.
+/// The head's default levels in TOML, with the names of the classes whose requests change data.
 pub(super) fn head_levels(write_classes: &[String]) -> String {
     let quoted: Vec<String> = write_classes.iter().map(|name| format!("{name:?}")).collect();
     HEAD_LEVELS.replace(WRITE_CLASSES, &quoted.join(", "))
 }
 
-/// The head's policy, without levels.
+/// The head's default policy, without levels.
 pub(super) fn head_policy(period_s: f64) -> EscalationPolicy {
     policy(period_s, HEAD_WINDOW_S, HEAD_MAX_TRANSITIONS)
 }
 
-/// A zone's policy, without levels.
+/// A zone's default policy, without levels.
 pub(super) fn zone_policy(period_s: f64) -> EscalationPolicy {
     policy(period_s, ZONE_WINDOW_S, ZONE_MAX_TRANSITIONS)
 }
--- a/crates/load-shedding/src/settings/file.rs
+++ b/crates/load-shedding/src/settings/file.rs
@@ -1,16 +1,17 @@
-//! The `[levels]` table of the operators' file. The keys are the file's and stay as they are.
+//! The TOML form of the `[levels]` table in the operators' file. The `serde` names are part of the file format and must
+//! not change.
 
 use super::Admission;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use toml::Spanned;
 
-/// A number with its place in the file.
+/// A number with its position in the file.
 pub(super) type SpannedNumber = Spanned<f64>;
-/// A text with its place in the file.
+/// A string with its position in the file.
 pub(super) type SpannedText = Spanned<String>;
 
-/// The whole table.
+/// The `[levels]` table. [`SheddingSettings`](super::SheddingSettings) describes its fields.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LevelsFile {
@@ -29,7 +30,7 @@
     pub(super) zone: PolicyFile,
 }
 
-/// The policy of the head or of each zone.
+/// The `[levels.head]` or `[levels.hall]` table: the escalation policy of the head or of each zone.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PolicyFile {
@@ -50,7 +51,7 @@
     pub(super) levels: Option<Vec<Spanned<LevelFile>>>,
 }
 
-/// One level.
+/// One `[[level]]` table of a policy.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LevelFile {
@@ -65,7 +66,8 @@
     pub(super) min_duration_s: Option<SpannedNumber>,
 }
 
-/// What a level admits of some classes and plans; of all where none are named.
+/// One entry of a level's `lets`: the admission of the listed classes on the listed plans. Without a list, the entry
+/// applies to all classes or to all plans.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct AdmissionFile {
--- a/crates/load-shedding/src/settings/mod.rs
+++ b/crates/load-shedding/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! The settings of load shedding, checked. [`mod@file`] is their form in TOML, `check` and `check_level` turn it into
-//! settings and tell what is wrong with line and key, `defaults` holds the levels that apply where a file has none.
-//! Nothing is taken from a file that is wrong anywhere.
+//! The settings of load shedding. [`mod@file`] defines their TOML form, `check` and `check_level` validate it and
+//! report errors with line and key, and `defaults` contains the values and levels that apply where a file specifies
+//! none. A file with any error is rejected as a whole.
 
 mod check;
 mod check_level;
@@ -15,59 +15,59 @@
 
 /// The name of the lowest level, at which everything is admitted.
 pub const NORMAL: &str = "normal";
-/// Word before the number of a zone that has no name.
+/// Prefix of the generated name of a zone without a configured name.
 const UNNAMED_ZONE: &str = "hall";
 
-/// How much of a class's work on a plan a level admits. Each admits less than the one before. The `serde` names are
-/// the words of `pass` in the operators' file.
+/// Which requests of a class on a plan a level admits, from the least to the most restrictive. The `serde` names are
+/// the values of `pass` in the operators' file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 pub enum Admission {
-    /// Everything.
+    /// All requests.
     #[default]
     #[serde(rename = "all")]
     All,
-    /// What is within the volume's reserve, and within its quota of what is left.
+    /// Requests within their volume's reserve, or within its quota of the remaining capacity.
     #[serde(rename = "share")]
     WithinQuota,
-    /// What is within the volume's reserve.
+    /// Requests within their volume's reserve.
     #[serde(rename = "reserve")]
     WithinReserve,
-    /// One request at a time, as a trial of whether the nodes answer again.
+    /// One request at a time, as a probe of whether the nodes answer again.
     #[serde(rename = "nothing")]
     TrialOnly,
 }
 
-/// What a level admits, by class and plan. Classes and plans that are not listed are admitted.
+/// The admission of each class and plan at a level. A class or plan outside the table is admitted without restriction.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AdmissionTable {
     rows: Vec<Vec<Admission>>,
 }
 
 impl AdmissionTable {
-    /// A table that lists all classes and plans and admits everything.
+    /// Creates a table of all classes and plans that admits all requests.
     fn admit_all(names: &Names) -> AdmissionTable {
         AdmissionTable { rows: vec![vec![Admission::All; names.plans.len()]; names.classes.len()] }
     }
 
-    /// What is admitted of a class on a plan.
+    /// The admission of a class on a plan.
     pub fn admission(&self, class: usize, plan: usize) -> Admission {
         self.rows.get(class).and_then(|plans| plans.get(plan)).copied().unwrap_or_default()
     }
 
-    /// Whether everything is admitted.
+    /// Whether all requests are admitted.
     pub fn admits_all(&self) -> bool {
         self.rows.iter().flatten().all(|admission| *admission == Admission::All)
     }
 
-    /// The admissions by class, and in each class by plan.
+    /// The admissions as one row for each class, with one entry for each plan.
     pub fn into_rows(self) -> Vec<Vec<Admission>> {
         self.rows
     }
 
-    /// Admits no more than this of a class on a plan.
+    /// Restricts a class on a plan to `admission`, unless the table is more restrictive already.
     fn restrict(&mut self, class: usize, plan: usize, admission: Admission) {
-        if let Some(known) = self.rows.get_mut(class).and_then(|plans| plans.get_mut(plan)) {
-            *known = admission.max(*known);
+        if let Some(current) = self.rows.get_mut(class).and_then(|plans| plans.get_mut(plan)) {
+            *current = admission.max(*current);
         }
     }
 }
@@ -75,52 +75,54 @@
 /// A threshold on one signal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
-    /// The signal's name, as the file has it.
+    /// Name of the signal, as written in the file.
     pub name: String,
-    /// The signal.
+    /// The signal that is compared with the threshold.
     pub signal: Signal,
     /// The threshold, in the signal's unit.
     pub threshold: f64,
 }
 
-/// One level above `normal`.
+/// The settings of one level above `normal`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LevelSettings {
-    /// Its name.
+    /// Name of the level.
     pub name: String,
-    /// What it admits.
+    /// The requests that the level admits.
     pub admission: AdmissionTable,
-    /// It is entered when any of these is past its threshold. Without any, it is only passed on the way down.
+    /// Entry conditions: the level is entered when any signal is past its threshold. A level without entry conditions
+    /// is only reached by a step down or an override.
     pub enter: Vec<Condition>,
-    /// It is left when all of these are on the good side of their thresholds.
+    /// Exit conditions: the level is left when all signals are on the good side of their thresholds.
     pub leave: Vec<Condition>,
-    /// How long it lasts at least, in seconds.
+    /// Minimum duration of the level, in seconds.
     pub min_duration_s: f64,
 }
 
-/// The levels of one scope, and how they follow each other.
+/// The levels of one scope, and the rules for the transitions between them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EscalationPolicy {
-    /// The levels above `normal`, the mildest first.
+    /// The levels above `normal`, the least restrictive first.
     pub levels: Vec<LevelSettings>,
-    /// Seconds over which evidence is gathered.
+    /// Length of the window over which conditions are evaluated, in seconds.
     pub window_s: f64,
-    /// Fraction of the evaluations in the window at which a condition must hold.
+    /// Fraction of the evaluations in the window for which a condition must hold.
     pub required_fraction: f64,
-    /// Most that a minimum duration grows to when a step down brings the load back, in seconds.
+    /// Upper limit, in seconds, of a minimum duration that increases with each relapse after a step down.
     pub max_min_duration_s: f64,
-    /// Transitions by readings within `transition_span_s` seconds at most. Entries leave room for the steps down.
+    /// Maximum number of transitions caused by readings within `transition_span_s`. A level is entered only if the
+    /// steps down from it fit this limit as well.
     pub max_transitions: usize,
-    /// The span over which transitions are counted, in seconds.
+    /// Span over which transitions are counted, in seconds.
     pub transition_span_s: f64,
-    /// Seconds without any fresh reading after which a level is left, one step at a time.
+    /// Seconds without a result of the exit conditions, for lack of fresh readings, after which a level is left.
     pub no_readings_after_s: f64,
     /// Seconds between two evaluations.
     pub period_s: f64,
 }
 
 impl EscalationPolicy {
-    /// A level's name; 0 is `normal`.
+    /// The name of the level with this number; 0 is `normal`.
     pub fn level_name(&self, level: usize) -> &str {
         let settings = level.checked_sub(1).and_then(|index| self.levels.get(index));
         settings.map_or(NORMAL, |settings| &settings.name)
@@ -131,7 +133,7 @@
         (0..=self.levels.len()).map(|level| self.level_name(level).to_string()).collect()
     }
 
-    /// The number of the level of this name, 0 for `normal`.
+    /// The number of the level with this name, 0 for `normal`.
     pub fn level_by_name(&self, name: &str) -> Option<usize> {
         if name == NORMAL {
             return Some(0);
@@ -146,68 +148,68 @@
 pub struct SheddingSettings {
     /// Seconds between two evaluations.
     pub period_s: f64,
-    /// Age in seconds past which a reading is stale.
+    /// Age in seconds above which a reading is stale.
     pub stale_after_s: f64,
-    /// Seconds after a node's last answer, or its last attempt's end, for which its state is known.
+    /// Seconds for which a node's state is known after its last answer or the end of its last attempt.
     pub node_known_for_s: f64,
-    /// Span in seconds over which fractions and means are taken.
+    /// Span in seconds over which fractions and means are computed.
     pub span_s: f64,
-    /// Least requests in a span for a fraction to be taken.
+    /// Minimum number of requests in the span for a fraction or mean to be computed.
     pub min_requests: f64,
-    /// Seconds without an answer after which a node counts as lost.
+    /// Seconds without an answer to an attempt after which a node is lost.
     pub silent_after_s: f64,
     /// The policy of the whole head.
     pub head: EscalationPolicy,
     /// The policy of each zone.
     pub zone: EscalationPolicy,
-    /// The names of the installation.
+    /// The names of the installation's classes, plans and zones.
     pub names: Names,
 }
 
-/// The names that settings and reports use, by number.
+/// The names that settings and reports use. The index of a name is the number of the class, plan or zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Request classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Plans.
+    /// Names of the plans.
     pub plans: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
 impl Names {
-    /// A zone's name.
+    /// The name of the zone with this number. A zone without a configured name gets a generated one.
     pub fn zone(&self, zone: u16) -> String {
         let name = self.zones.get(usize::from(zone));
         name.cloned().unwrap_or_else(|| format!("{UNNAMED_ZONE} {zone}"))
     }
 
-    /// The number of the zone of this name.
+    /// The number of the zone with this configured name.
     pub fn zone_by_name(&self, name: &str) -> Option<u16> {
         let index = self.zones.iter().position(|zone| zone == name)?;
         u16::try_from(index).ok()
     }
 }
 
-/// Settings that can't be used: a mistake of whoever wrote the file.
+/// An error in a `[levels]` table.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("line {line}: {key}: {problem}")]
 pub struct SheddingSettingsError {
-    /// The line in the file, from 1.
+    /// Line number in the file, starting at 1.
     pub line: usize,
-    /// The key's path.
+    /// Path of the key in the file.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error.
     pub problem: String,
 }
 
 impl SheddingSettings {
-    /// Checks a file's `[levels]` table; `text` is the whole file's, for the line numbers. `writes` tells which
-    /// classes change data.
+    /// Validates the `[levels]` table of a file and fills in the defaults. `text` is the text of the whole file, from
+    /// which line numbers are determined. `writes` contains for each class whether its requests change data.
     ///
     /// # Errors
     ///
-    /// A key has a value that can't be used; the error names the line.
+    /// A value is invalid. The error contains its line and key.
     pub fn check(
         file: &LevelsFile,
         text: &str,
@@ -226,16 +228,16 @@
     ///
     /// # Errors
     ///
-    /// The default levels can't be used with these names.
+    /// The default levels are invalid with these names.
     pub fn with_defaults(names: &Names, writes: &[bool]) -> Result<SheddingSettings, SheddingSettingsError> {
         SheddingSettings::check(&LevelsFile::default(), "", names, writes)
     }
 
-    /// Parses the text of a `[levels]` table.
+    /// Parses and validates the text of a `[levels]` table. See [`SheddingSettings::check`] for `writes`.
     ///
     /// # Errors
     ///
-    /// The text is not TOML of the expected form, or a key has a value that can't be used.
+    /// The text is not TOML of the expected form, or a value is invalid.
     pub fn parse(
         text: &str,
         names: &Names,
--- a/crates/load-shedding/src/settings/tests.rs
+++ b/crates/load-shedding/src/settings/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 fn names() -> Names {
-    let of = |all: &[&str]| all.iter().map(|name| name.to_string()).collect();
+    let to_strings = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     Names {
-        classes: of(&["play-fetch", "episode-save"]),
-        plans: of(&["community", "network"]),
-        zones: of(&["north", "south", "east"]),
+        classes: to_strings(&["play-fetch", "episode-save"]),
+        plans: to_strings(&["community", "network"]),
+        zones: to_strings(&["north", "south", "east"]),
     }
 }
 
@@ -26,9 +26,9 @@
     assert_eq!(SheddingSettings::with_defaults(&names(), &[false, true]), Ok(settings));
 }
 
-/// Guards against settings that contradict themselves: each is turned down with its line and key.
+/// Guards against invalid or contradictory settings that are accepted, or rejected without their line and key.
 #[test]
-fn contradictions_are_rejected_with_line_and_key() {
+fn invalid_settings_are_rejected_with_line_and_key() {
     let level = |lets: &str, enter: &str, leave: &str| {
         format!(
             "[[head.level]]\nname = \"a\"\nlets = [{lets}]\nenter = {{ {enter} }}\nleave = {{ {leave} }}\n"
@@ -68,7 +68,7 @@
     ];
     for (text, line, key, problem) in cases {
         let error = parse(&text).expect_err(&text);
-        let fits = error.line == line && error.key.starts_with(key) && error.problem.contains(problem);
-        assert!(fits, "{error}\nin:\n{text}");
+        let is_expected = error.line == line && error.key.starts_with(key) && error.problem.contains(problem);
+        assert!(is_expected, "{error}\nin:\n{text}");
     }
 }
--- a/crates/load-shedding/src/signal.rs
+++ b/crates/load-shedding/src/signal.rs
@@ -208,7 +208,8 @@
     }
 
     /// Returns the state of a reading at `now`. Readings older than `stale_after_s` seconds are stale. For
-    /// [`ClassSelector::Worst`], returns the worst fresh reading of any class or, if none is fresh, the most recent one.
+    /// [`ClassSelector::Worst`], returns the worst fresh reading of any class or, if none is fresh, the most recent
+    /// one.
     pub fn state(&self, scope: Scope, signal: Signal, now: f64, stale_after_s: f64) -> ReadingState {
         let (Signal::ObjectiveMet(ClassSelector::Worst) | Signal::Delay(ClassSelector::Worst)) = signal
         else {
