--- a/crates/load-shedding/src/level_override.rs
+++ b/crates/load-shedding/src/level_override.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum OverrideError {
     /// The scope has no level of this name.
-    #[error("no level {level_name:?} here; there are {known}")]
+    #[error("unknown level {level_name:?}; must be one of: {known}")]
     UnknownLevel {
         /// The requested name.
         level_name: String,
@@ -99,7 +99,7 @@
         known: String,
     },
     /// The installation has no zone of this name.
-    #[error("no hall {zone_name:?}; known are {known}")]
+    #[error("unknown scope {zone_name:?}; must be `head` or one of: {known}")]
     UnknownZone {
         /// The requested name.
         zone_name: String,
@@ -107,16 +107,16 @@
         known: String,
     },
     /// The operator's name or reason is empty, too long or contains control characters.
-    #[error("{parameter} has to be said, in 1 to {MAX_TEXT_CHARS} characters")]
+    #[error("{parameter} must be a text of 1 to {MAX_TEXT_CHARS} characters without control characters")]
     InvalidText {
         /// Name of the request's parameter.
         parameter: &'static str,
     },
     /// The duration is out of range.
-    #[error("a pin lasts from 1 to {MAX_OVERRIDE_S} seconds")]
+    #[error("seconds must be from {MIN_OVERRIDE_S} to {MAX_OVERRIDE_S}")]
     InvalidDuration,
     /// The scope has no override to release.
-    #[error("nobody holds the level of {scope}")]
+    #[error("no override is set for {scope}")]
     NotOverridden {
         /// `head`, or the zone's name.
         scope: String,
--- a/crates/load-shedding/src/settings/check.rs
+++ b/crates/load-shedding/src/settings/check.rs
@@ -77,7 +77,7 @@
         }
         let at = file.stale_after_s.as_ref().map_or(0..0, Spanned::span);
         let problem = format!(
-            "{stale_after_s} is over {max_stale_after_s:.3}, so that one reading would be evidence alone"
+            "{stale_after_s} is over {max_stale_after_s:.3}, so that a single reading could change a level"
         );
         self.fail(at, "levels.stale_s", problem)
     }
@@ -117,7 +117,11 @@
         if range.contains(&value) {
             return Ok(value);
         }
-        self.fail(specified.span(), key, format!("{value} is not from {} to {}", range.start(), range.end()))
+        self.fail(
+            specified.span(),
+            key,
+            format!("{value} is out of range: must be from {} to {}", range.start(), range.end()),
+        )
     }
 
     fn policy(
--- a/crates/load-shedding/src/settings/check_level.rs
+++ b/crates/load-shedding/src/settings/check_level.rs
@@ -38,14 +38,18 @@
             let level = self.level(file, &context)?;
             if levels.iter().any(|lower| lower.name == level.name) {
                 let at = file.get_ref().name.span();
-                return self.fail(at, format!("{key}.name"), format!("{} is there twice", level.name));
+                return self.fail(
+                    at,
+                    format!("{key}.name"),
+                    format!("duplicate level name {:?}", level.name),
+                );
             }
             levels.push(level);
         }
         if let Some(highest) = files.last() {
             if highest.get_ref().enter.is_empty() {
                 let key = format!("{policy_key}.level[{}].enter", files.len() - 1);
-                return self.fail(highest.span(), key, "the highest level can't be entered");
+                return self.fail(highest.span(), key, "the highest level needs an entry condition");
             }
         }
         Ok(levels)
@@ -80,7 +84,9 @@
         if !text.is_empty() && text != NORMAL && text.chars().all(is_allowed) {
             return Ok(());
         }
-        let problem = "a name is of small letters, digits and hyphens, and not `normal`";
+        let problem = format!(
+            "invalid level name {text:?}: it must consist of lower-case letters, digits and hyphens, and not be {NORMAL:?}"
+        );
         self.fail(name.span(), format!("{key}.name"), problem)
     }
 
@@ -113,14 +119,18 @@
     ) -> Result<(), SheddingSettingsError> {
         let key = format!("{}.lets", context.key);
         if admission.admits_all() {
-            return self.fail(span.clone(), key, "the level holds nothing back");
+            return self.fail(
+                span.clone(),
+                key,
+                "the level admits all requests; it must restrict at least one class on one plan",
+            );
         }
         for (class, class_name) in self.names.classes.iter().enumerate() {
             for (plan, plan_name) in self.names.plans.iter().enumerate() {
                 let lower_admission = context.lower_admission.admission(class, plan);
                 if admission.admission(class, plan) < lower_admission {
                     let problem =
-                        format!("lets more of {class_name} on {plan_name} pass than the level below");
+                        format!("admits more of {class_name} on {plan_name} than the next lower level");
                     return self.fail(span.clone(), key, problem);
                 }
             }
@@ -138,11 +148,15 @@
             let key = format!("{key}.{name}");
             let threshold = *value.get_ref();
             let Some(signal) = Signal::parse(name, &self.names.classes) else {
-                return self.fail(value.span(), key, "no such signal, or an unknown class");
+                return self.fail(value.span(), key, format!("unknown signal or class {name:?}"));
             };
             let max = signal.max_threshold();
             if !(0.0..=max).contains(&threshold) {
-                return self.fail(value.span(), key, format!("{threshold} is not from 0 to {max}"));
+                return self.fail(
+                    value.span(),
+                    key,
+                    format!("threshold {threshold} is out of range: must be from 0 to {max}"),
+                );
             }
             conditions.push(Condition { name: name.clone(), signal, threshold });
         }
@@ -160,13 +174,13 @@
         span: &Range<usize>,
     ) -> Result<(), SheddingSettingsError> {
         if leave.is_empty() {
-            return self.fail(span.clone(), format!("{key}.leave"), "a level needs a way out");
+            return self.fail(span.clone(), format!("{key}.leave"), "the level needs an exit condition");
         }
         for entry in enter {
             let name = &entry.name;
             let key = format!("{key}.leave.{name}");
             let Some(exit) = leave.iter().find(|exit| exit.signal == entry.signal) else {
-                let problem = "is entered by, so it needs a threshold to leave by";
+                let problem = "a signal with an entry threshold needs an exit threshold";
                 return self.fail(span.clone(), key, problem);
             };
             if entry.signal.is_breached(exit.threshold, entry.threshold) {
@@ -195,7 +209,7 @@
         for name in listed {
             let Some(number) = known.iter().position(|known| known == name.get_ref()) else {
                 let known = known.join(", ");
-                let problem = format!("unknown {kind} {:?}; known are {known}", name.get_ref());
+                let problem = format!("unknown {kind} {:?}; must be one of: {known}", name.get_ref());
                 return self.fail(name.span(), key, problem);
             };
             numbers.push(number);
--- a/crates/load-shedding/src/settings/tests.rs
+++ b/crates/load-shedding/src/settings/tests.rs
@@ -39,17 +39,27 @@
         (level(reserve, "held = 0.5", "held = 0.6"), 5, "levels.head.level[0].leave.held", "gap"),
         (level(reserve, "held = 0.5", "held = 0.5"), 5, "levels.head.level[0].leave.held", "gap"),
         (level(reserve, "aims = 0.9", "aims = 0.8"), 5, "levels.head.level[0].leave.aims", "gap"),
-        (level(reserve, "aims = 0.9", "held = 0.8"), 1, "levels.head.level[0].leave.aims", "needs"),
-        (level(reserve, "\"aims.gold\" = 0.9", "held = 0.8"), 4, "levels.head.level[0].enter", "class"),
-        (level(reserve, "", "held = 0.8"), 1, "levels.head.level[0].enter", "can't be entered"),
-        (level(reserve, "held = 0.5", ""), 1, "levels.head.level[0].leave", "way out"),
-        (level("", "held = 0.5", "held = 0.2"), 1, "levels.head.level[0].lets", "nothing back"),
+        (
+            level(reserve, "aims = 0.9", "held = 0.8"),
+            1,
+            "levels.head.level[0].leave.aims",
+            "needs an exit threshold",
+        ),
+        (
+            level(reserve, "\"aims.gold\" = 0.9", "held = 0.8"),
+            4,
+            "levels.head.level[0].enter",
+            "unknown signal or class \"aims.gold\"",
+        ),
+        (level(reserve, "", "held = 0.8"), 1, "levels.head.level[0].enter", "needs an entry condition"),
+        (level(reserve, "held = 0.5", ""), 1, "levels.head.level[0].leave", "needs an exit condition"),
+        (level("", "held = 0.5", "held = 0.2"), 1, "levels.head.level[0].lets", "admits all requests"),
         (level(reserve, "memory = 1.5", "memory = 0.2"), 4, "levels.head.level[0].enter.memory", "0 to 1"),
         (
             level("{ pass = \"share\", classes = [\"gold\"] }", "held = 0.5", "held = 0.2"),
             3,
             "levels.head.level[0].lets",
-            "unknown class \"gold\"; known are play-fetch, episode-save",
+            "unknown class \"gold\"; must be one of: play-fetch, episode-save",
         ),
         (
             level(reserve, "held = 0.5", "held = 0.2")
@@ -58,12 +68,22 @@
             "levels.head.level[1].lets",
             "more of play-fetch on community",
         ),
-        (level(reserve, "held = 0.5", "held = 0.2").repeat(2), 7, "levels.head.level[1].name", "twice"),
+        (
+            level(reserve, "held = 0.5", "held = 0.2").repeat(2),
+            7,
+            "levels.head.level[1].name",
+            "duplicate level name \"a\"",
+        ),
         ("\n[head]\nwindow_s = 0.1".into(), 3, "levels.head.window_s", "0.5 to 600"),
         ("[head]\ndwell_s = 1.0".into(), 2, "levels.head.dwell_s", "3 to 3600"),
         ("[head]\nchanges = 3".into(), 2, "levels.head.changes", "4 to 1000"),
         ("[hall]\nevidence = 0.2".into(), 2, "levels.hall.evidence", "0.5 to 1"),
-        ("period_s = 0.25\nstale_s = 2.0".into(), 2, "levels.stale_s", "evidence alone"),
+        (
+            "period_s = 0.25\nstale_s = 2.0".into(),
+            2,
+            "levels.stale_s",
+            "a single reading could change a level",
+        ),
         ("\n\nwindow = 3".into(), 3, "levels", "unknown field"),
     ];
     for (text, line, key, problem) in cases {
