--- a/crates/load-shedding/src/level_manager.rs
+++ b/crates/load-shedding/src/level_manager.rs
@@ -242,7 +242,7 @@
     ///
     /// # Errors
     ///
-    /// The note or the duration is invalid, or the scope has no level of the requested name. Nothing is changed then.
+    /// The note or the duration is invalid, or the scope has no level of the requested name. No level is changed then.
     pub fn set_override(
         &mut self,
         now: f64,
--- a/crates/load-shedding/src/level_state.rs
+++ b/crates/load-shedding/src/level_state.rs
@@ -419,7 +419,7 @@
         level_override: Option<LevelOverride>,
     ) {
         self.level = level;
-        // The clock of the process that saved the state may be ahead of this one.
+        // The clock of the process that saved the state may be ahead of this one, so times are limited to the present.
         self.since = saved.since.min(now);
         self.reason = saved.reason.clone();
         self.level_override = level_override;
--- a/crates/load-shedding/src/settings/check.rs
+++ b/crates/load-shedding/src/settings/check.rs
@@ -62,8 +62,8 @@
         })
     }
 
-    /// Checks that readings go stale early enough: a single reading must not hold a condition in enough evaluations to
-    /// change a level by itself.
+    /// Checks that readings go stale early enough: a single reading must not satisfy a condition in enough
+    /// evaluations to change a level by itself.
     pub(super) fn check_staleness(
         &self,
         file: &LevelsFile,
--- a/crates/load-shedding/src/settings/mod.rs
+++ b/crates/load-shedding/src/settings/mod.rs
@@ -115,7 +115,8 @@
     pub max_transitions: usize,
     /// Span over which transitions are counted, in seconds.
     pub transition_span_s: f64,
-    /// Seconds without a result of the exit conditions, for lack of fresh readings, after which a level is left.
+    /// Seconds without a result of the exit conditions, for lack of fresh readings, after which a level is left, one step
+    /// at a time.
     pub no_readings_after_s: f64,
     /// Seconds between two evaluations.
     pub period_s: f64,
--- a/crates/load-shedding/tests/stored_form.rs
+++ b/crates/load-shedding/tests/stored_form.rs
@@ -1,11 +1,11 @@
-//! The literal form of what processes leave each other and of what operators are shown: `flaxgap-NAME.levels` and the
-//! body of `GET /ops/levels`. An older process reads what a newer one writes, and the other way round.
+//! The exact JSON of the saved file `flaxgap-NAME.levels` and of the response to `GET /ops/levels`. Processes of
+//! different versions read each other's files, and operators' tools parse the response.
 
 use flaxgap_load_shedding::level_override::{OperatorNote, OverrideRequest};
 use flaxgap_load_shedding::report::TransitionReason;
 use flaxgap_load_shedding::{ClassSelector, LevelManager, Names, Scope, SheddingSettings, Signal};
 
-/// A file of levels as the revision of December 2026 wrote it.
+/// A saved file as written by the revision of December 2026.
 const SAVED: &str = concat!(
     r#"{"written":41.0,"head":{"level":"saves-limited","since":40.0,"why":{"kind":"pinned","who":"ann","#,
     r#""why":"storm warning","until":640.0},"dwells":{"reserve-only":15.0,"saves-limited":15.0,"#,
@@ -27,7 +27,7 @@
     r#""from":"hall-cut","to":"hall-cut","why":{"kind":"released","who":"bob","why":"it passed"}}]}"#,
 );
 
-/// The answer to `GET /ops/levels` at the same moment, without its line breaks.
+/// The response to `GET /ops/levels` at the same time, without line breaks and indentation.
 const STATUS: &str = concat!(
     r#"{"now":41.0,"levels":[{"scope":"head","level":"saves-limited","rung":2,"since":40.0,"for_s":1.0,"#,
     r#""why":"pinned by ann: storm warning","reason":{"kind":"pinned","who":"ann","why":"storm warning","#,
@@ -57,7 +57,7 @@
     r#""value":1.0,"threshold":0.75,"part":1.0}}]}"#,
 );
 
-/// When the file was written, in seconds.
+/// Time at which the file was written, in seconds.
 const WRITTEN_AT: f64 = 41.0;
 
 fn settings() -> SheddingSettings {
@@ -77,7 +77,7 @@
     OverrideRequest { level_name: level_name.into(), duration_s, note }
 }
 
-/// Levels that were entered and left by readings, set by an operator, and released.
+/// Creates a manager whose history contains entries and steps down by readings, and overrides set and released.
 fn levels_with_a_history() -> LevelManager {
     let mut manager = LevelManager::new(settings(), 0.0);
     let mut now = 0.0;
@@ -100,20 +100,20 @@
 }
 
 #[test]
-fn the_file_of_levels_is_written_in_its_form() {
+fn the_saved_file_keeps_its_form() {
     let written = serde_json::to_string(&levels_with_a_history().save(WRITTEN_AT)).expect("JSON");
     assert_eq!(written, SAVED);
 }
 
 #[test]
-fn the_file_of_levels_is_read_and_written_again_unchanged() {
+fn a_saved_file_is_restored_and_saved_again_unchanged() {
     let mut manager = LevelManager::new(settings(), WRITTEN_AT);
-    manager.restore(WRITTEN_AT, serde_json::from_str(SAVED).expect("a file of levels"));
+    manager.restore(WRITTEN_AT, serde_json::from_str(SAVED).expect("a saved file"));
     let written = serde_json::to_string(&manager.save(WRITTEN_AT)).expect("JSON");
     assert_eq!(written, SAVED);
 }
 
-/// Guards against a reason that is stored under another word: all kinds are read and written.
+/// Guards against changes to the stored form of a transition reason: all kinds must be read and written unchanged.
 #[test]
 fn every_reason_keeps_its_stored_form() {
     for reason in [
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn operators_are_shown_levels_in_their_form() {
+fn the_status_report_keeps_its_form() {
     let status = serde_json::to_string(&levels_with_a_history().status(WRITTEN_AT)).expect("JSON");
     assert_eq!(status, STATUS);
 }
