--- a/crates/load-shedding/src/settings/tests.rs
+++ b/crates/load-shedding/src/settings/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of this module's private parts.
+//! Unit tests of the defaults and the validation of settings.
 
 use super::*;
 
 fn names() -> Names {
-    let of = |all: &[&str]| all.iter().map(|name| name.to_string()).collect();
+    let to_strings = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     Names {
-        classes: of(&["play-fetch", "episode-save"]),
-        plans: of(&["community", "network"]),
-        zones: of(&["north", "south", "east"]),
+        classes: to_strings(&["play-fetch", "episode-save"]),
+        plans: to_strings(&["community", "network"]),
+        zones: to_strings(&["north", "south", "east"]),
     }
 }
 
@@ -26,9 +26,9 @@
     assert_eq!(SheddingSettings::with_defaults(&names(), &[false, true]), Ok(settings));
 }
 
-/// Guards against settings that contradict themselves: each is turned down with its line and key.
+/// Guards against invalid or contradictory settings that are accepted, or rejected without their line and key.
 #[test]
-fn contradictions_are_rejected_with_line_and_key() {
+fn invalid_settings_are_rejected_with_line_and_key() {
     let level = |lets: &str, enter: &str, leave: &str| {
         format!(
             "[[head.level]]\nname = \"a\"\nlets = [{lets}]\nenter = {{ {enter} }}\nleave = {{ {leave} }}\n"
@@ -39,17 +39,27 @@
         (level(reserve, "held = 0.5", "held = 0.6"), 5, "levels.head.level[0].leave.held", "gap"),
         (level(reserve, "held = 0.5", "held = 0.5"), 5, "levels.head.level[0].leave.held", "gap"),
         (level(reserve, "aims = 0.9", "aims = 0.8"), 5, "levels.head.level[0].leave.aims", "gap"),
-        (level(reserve, "aims = 0.9", "held = 0.8"), 1, "levels.head.level[0].leave.aims", "needs"),
-        (level(reserve, "\"aims.gold\" = 0.9", "held = 0.8"), 4, "levels.head.level[0].enter", "class"),
-        (level(reserve, "", "held = 0.8"), 1, "levels.head.level[0].enter", "can't be entered"),
-        (level(reserve, "held = 0.5", ""), 1, "levels.head.level[0].leave", "way out"),
-        (level("", "held = 0.5", "held = 0.2"), 1, "levels.head.level[0].lets", "nothing back"),
+        (
+            level(reserve, "aims = 0.9", "held = 0.8"),
+            1,
+            "levels.head.level[0].leave.aims",
+            "needs an exit threshold",
+        ),
+        (
+            level(reserve, "\"aims.gold\" = 0.9", "held = 0.8"),
+            4,
+            "levels.head.level[0].enter",
+            "unknown signal or class \"aims.gold\"",
+        ),
+        (level(reserve, "", "held = 0.8"), 1, "levels.head.level[0].enter", "needs an entry condition"),
+        (level(reserve, "held = 0.5", ""), 1, "levels.head.level[0].leave", "needs an exit condition"),
+        (level("", "held = 0.5", "held = 0.2"), 1, "levels.head.level[0].lets", "admits all requests"),
         (level(reserve, "memory = 1.5", "memory = 0.2"), 4, "levels.head.level[0].enter.memory", "0 to 1"),
         (
             level("{ pass = \"share\", classes = [\"gold\"] }", "held = 0.5", "held = 0.2"),
             3,
             "levels.head.level[0].lets",
-            "unknown class \"gold\"; known are play-fetch, episode-save",
+            "unknown class \"gold\"; must be one of: play-fetch, episode-save",
         ),
         (
             level(reserve, "held = 0.5", "held = 0.2")
@@ -58,17 +68,27 @@
             "levels.head.level[1].lets",
             "more of play-fetch on community",
         ),
-        (level(reserve, "held = 0.5", "held = 0.2").repeat(2), 7, "levels.head.level[1].name", "twice"),
+        (
+            level(reserve, "held = 0.5", "held = 0.2").repeat(2),
+            7,
+            "levels.head.level[1].name",
+            "duplicate level name \"a\"",
+        ),
         ("\n[head]\nwindow_s = 0.1".into(), 3, "levels.head.window_s", "0.5 to 600"),
         ("[head]\ndwell_s = 1.0".into(), 2, "levels.head.dwell_s", "3 to 3600"),
         ("[head]\nchanges = 3".into(), 2, "levels.head.changes", "4 to 1000"),
         ("[hall]\nevidence = 0.2".into(), 2, "levels.hall.evidence", "0.5 to 1"),
-        ("period_s = 0.25\nstale_s = 2.0".into(), 2, "levels.stale_s", "evidence alone"),
+        (
+            "period_s = 0.25\nstale_s = 2.0".into(),
+            2,
+            "levels.stale_s",
+            "a single reading could change a level",
+        ),
         ("\n\nwindow = 3".into(), 3, "levels", "unknown field"),
     ];
     for (text, line, key, problem) in cases {
         let error = parse(&text).expect_err(&text);
-        let fits = error.line == line && error.key.starts_with(key) && error.problem.contains(problem);
-        assert!(fits, "{error}\nin:\n{text}");
+        let is_expected = error.line == line && error.key.starts_with(key) && error.problem.contains(problem);
+        assert!(is_expected, "{error}\nin:\n{text}");
     }
 }
