--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,13 +1,14 @@
-//! The monotonic clock of a process, in Unix time.
+//! A monotonic clock whose readings are Unix timestamps.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Longest span that [`seconds`] returns, in seconds: one day.
-const LONGEST_SPAN_S: f64 = 86_400.0;
+/// Longest duration that [`seconds`] returns, in seconds: one day.
+const MAX_DURATION_S: f64 = 86_400.0;
 
-/// A monotonic clock whose readings are Unix time, which is read once at the start: times that other machines report
-/// in Unix time (a node's last start) need no conversion, and the readings never run backwards.
+/// Monotonic clock whose readings are Unix timestamps. The system's Unix time is read only once, when the clock is
+/// started: Unix timestamps from other machines (such as a node's last start) need no conversion, and the readings
+/// never decrease.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
@@ -15,7 +16,7 @@
 }
 
 impl Clock {
-    /// Starts a clock at the present Unix time.
+    /// Starts a clock at the current Unix time.
     pub fn start() -> Clock {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH);
         Clock {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// The present time, in seconds of Unix time.
+    /// The current time, in seconds of Unix time.
     pub fn now(&self) -> f64 {
         self.at(Instant::now())
     }
@@ -34,13 +35,13 @@
         self.started_at_unix_s + instant.saturating_duration_since(self.started_at).as_secs_f64()
     }
 
-    /// The instant of a reading.
+    /// The instant at which the clock reads `unix_time_s`.
     pub fn instant(&self, unix_time_s: f64) -> Instant {
         self.started_at + seconds(unix_time_s - self.started_at_unix_s)
     }
 }
 
-/// The duration of a number of seconds: zero where it is negative, one day at most.
+/// Converts a number of seconds to a duration, clamped to between zero and one day.
 pub fn seconds(value: f64) -> Duration {
-    Duration::from_secs_f64(if value > 0.0 { value.min(LONGEST_SPAN_S) } else { 0.0 })
+    Duration::from_secs_f64(if value > 0.0 { value.min(MAX_DURATION_S) } else { 0.0 })
 }
--- a/src/core/decision.rs
+++ b/src/core/decision.rs
@@ -1,4 +1,4 @@
-//! The scheduler's decisions on one request, and the channel that brings them to the task that serves it.
+//! The scheduler's decisions on a request, and the channel that delivers them to the task serving the request.
 
 use crate::scheduler::NodeId;
 use std::cell::RefCell;
@@ -13,29 +13,30 @@
     Send(SendDecision),
     /// Cancel the attempt in progress.
     Cancel,
-    /// Answer: rejected without effect.
+    /// Answer that the request was rejected without effect.
     Reject {
         /// Seconds that the client should wait before it retries; 0 for no advice.
         retry_after_s: f64,
     },
-    /// Answer: failed.
+    /// Answer that the request failed.
     Fail,
 }
 
-/// The decision to send an attempt.
+/// Parameters of the decision to send an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct SendDecision {
-    /// Which of the request's attempts, counted from 0.
+    /// Zero-based index of the attempt among the request's attempts.
     pub attempt: usize,
-    /// The node to send it to.
+    /// Node to send the attempt to.
     pub node: NodeId,
-    /// When to abandon the attempt, on the scheduler's clock.
+    /// When the attempt times out, on the scheduler's clock.
     pub expires_at: f64,
-    /// When the decision was made.
+    /// When the scheduler made the decision.
     pub decided_at: Instant,
 }
 
-/// An unbounded channel of the decisions on one request. There is mostly one at a time, so that it allocates little.
+/// Unbounded channel for the decisions on one request. Usually at most one decision is queued, so the queue's
+/// allocation stays small.
 #[derive(Default)]
 pub struct PendingDecisions {
     queue: RefCell<VecDeque<Decision>>,
@@ -43,13 +44,13 @@
 }
 
 impl PendingDecisions {
-    /// Adds a decision.
+    /// Queues a decision and wakes the receiver.
     pub fn send(&self, decision: Decision) {
         self.queue.borrow_mut().push_back(decision);
         self.arrived.notify_one();
     }
 
-    /// Waits for the next decision and removes it.
+    /// Waits for the next decision and removes it from the queue.
     pub async fn recv(&self) -> Decision {
         loop {
             let next = self.queue.borrow_mut().pop_front();
--- a/src/core/dispatcher.rs
+++ b/src/core/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: it notifies the scheduler of events and carries out the actions that the scheduler asks for.
+//! The dispatcher: passes events to the scheduler and executes the actions that it returns.
 
 use crate::Scheduler;
 use crate::core::decision::{Decision, PendingDecisions};
@@ -18,13 +18,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Past a request's deadline, how long the scheduler's answer is still awaited before the core gives one itself.
+/// How long after a request's deadline the dispatcher still waits for the scheduler's decision before it answers the
+/// request itself.
 pub(super) const OVERDUE_AFTER: Duration = Duration::from_millis(20);
 
-/// How long a request's id is remembered at least; longer where the settings have a longer deadline.
+/// Minimum time for which a request id is remembered; longer if a class has a longer deadline.
 const MIN_ID_RETENTION: Duration = Duration::from_secs(10);
 
-/// The scheduler, and the events that wait for the end of its tick.
+/// The scheduler, and the events queued until its current tick ends.
 pub(super) struct SchedulerQueue {
     pub(super) scheduler: Scheduler,
     pending_events: Vec<Event>,
@@ -38,24 +39,24 @@
     }
 }
 
-/// Whether queued events go to the scheduler now or later.
+/// When the scheduler processes the queued events.
 enum NextRun {
-    /// Now.
+    /// Immediately.
     Now,
-    /// At a moment that a timer is needed for.
+    /// At this instant, for which a timer has to be set.
     Schedule(Instant),
-    /// At a moment that a timer was set for.
+    /// At an instant for which a timer has been set.
     Scheduled,
 }
 
-/// Owner of the one scheduler: notifies it of events and carries out the actions that it asks for.
+/// Owns the scheduler, passes events to it and executes the actions that it returns.
 pub struct Dispatcher {
     pub(super) queue: RefCell<SchedulerQueue>,
     pub(super) shedding: SheddingState,
     pub(super) counters: Rc<Counters>,
     pub(super) observer: RefCell<Option<Rc<dyn Observer>>>,
     pub(super) shutdown_deadline: Rc<ShutdownDeadline>,
-    /// By class: for how long after its first attempt that may have run a request may be sent again.
+    /// By class: how long after its first attempt that a node may have executed a request may be retried.
     pub(super) retry_windows: Vec<Option<Duration>>,
     clock: Clock,
     requests: RefCell<RequestTable>,
@@ -64,11 +65,11 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher of a scheduler with these settings.
+    /// Creates a scheduler with these settings and its dispatcher.
     ///
     /// # Errors
     ///
-    /// The scheduler can't work with the settings.
+    /// Returns an error if the scheduler rejects the settings.
     pub fn new(
         settings: SchedulerSettings,
         seed: u64,
@@ -93,45 +94,47 @@
         }))
     }
 
-    /// The clock that the scheduler's times are on.
+    /// The clock of the scheduler's timestamps.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Sets the observer of all requests from now on.
+    /// Sets the observer of all requests that arrive from now on.
     pub fn set_observer(&self, observer: Rc<dyn Observer>) {
         self.observer.replace(Some(observer));
     }
 
-    /// Claims an id for one request; false if another request has it or recently had it. Clients use a fresh id for
-    /// each request, retries included, and nodes would take a second request of the same id for a further attempt of
-    /// the first.
+    /// Claims an id for one request. Returns false if another request, in flight or recent, has claimed the same id.
+    ///
+    /// Clients must use a new id for each request, including their own retries: a node would treat a second request
+    /// with the same id as a further attempt of the first.
     pub fn claim_request_id(&self, id: &Bytes) -> bool {
         self.request_ids.borrow_mut().claim(id)
     }
 
-    /// Sets the moment by which all requests, in flight or still to come, are answered since the process ends. The
-    /// scheduler is not notified: it would take the shorter time for that of a client that has waited before.
+    /// Sets the shutdown deadline, by which all requests, in flight or still to arrive, must be answered because the
+    /// process exits. The scheduler is not notified: it would attribute the shorter remaining time to a client that has
+    /// already waited.
     pub fn set_shutdown_deadline(&self, at: Instant) {
         self.shutdown_deadline.set(at);
     }
 
-    /// Notifies the scheduler of events and carries out the actions that it asks for.
+    /// Passes events to the scheduler and executes the actions that it returns.
     ///
-    /// The scheduler runs at most once a tick of its settings, since each run visits all pending requests: events in
-    /// between are queued until the tick ends. Updates of the endpoint list are never delayed.
+    /// The scheduler runs at most once per tick, since each run visits all pending requests; events that arrive in
+    /// between are queued until the tick ends. Endpoint list updates are never delayed.
     pub fn notify(&self, events: &[Event]) {
         match self.queue_events(events) {
             NextRun::Now => {
                 let actions = self.run_scheduler();
-                self.carry_out(actions);
+                self.execute(actions);
             }
             NextRun::Schedule(at) => self.timers.schedule(at),
             NextRun::Scheduled => {}
         }
     }
 
-    /// Queues events until the tick ends, and returns whether it has.
+    /// Queues events and returns when the scheduler has to process them.
     fn queue_events(&self, events: &[Event]) -> NextRun {
         let queue = &mut *self.queue.borrow_mut();
         let was_empty = queue.pending_events.is_empty();
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Hands all queued events to the scheduler and returns the actions that it asks for.
+    /// Passes all queued events to the scheduler and returns the requested actions.
     fn run_scheduler(&self) -> Vec<Action> {
         let queue = &mut *self.queue.borrow_mut();
         queue.next_run_at = Instant::now() + queue.tick;
@@ -158,7 +161,7 @@
         actions
     }
 
-    fn carry_out(&self, actions: Vec<Action>) {
+    fn execute(&self, actions: Vec<Action>) {
         let requests = &mut *self.requests.borrow_mut();
         for action in actions {
             match action {
@@ -171,14 +174,14 @@
                 }
                 Action::Fail { request } => requests.deliver(request, Decision::Fail),
                 Action::WakeUp { delay_s } => self.timers.schedule(Instant::now() + seconds(delay_s)),
-                // The endpoint list is watched all the time, and the nodes' protocol has no health check.
+                // The endpoint list is watched continuously, and the node protocol has no health check.
                 Action::PollEndpoints | Action::CheckHealth { .. } => {}
                 Action::Log(text) => log::info!("scheduler: {text}"),
             }
         }
     }
 
-    /// Notifies the scheduler of each wake-up that is due; runs as long as the process.
+    /// Notifies the scheduler of each wake-up when it is due. Never returns.
     pub async fn run_timers(&self) {
         loop {
             self.timers.next().await;
@@ -186,22 +189,22 @@
         }
     }
 
-    /// Adds a request to those in flight, whose decisions go to `decisions`.
+    /// Adds a request to the requests in flight; the scheduler's decisions on it are sent to `decisions`.
     pub(super) fn insert_request(&self, decisions: Rc<PendingDecisions>) -> RequestId {
         self.requests.borrow_mut().insert(decisions)
     }
 
-    /// The attempt of a request whose end was not reported yet.
+    /// The request's attempt whose end has not been reported to the scheduler, if any.
     pub(super) fn unreported_attempt(&self, id: RequestId) -> Option<UnreportedAttempt> {
         self.requests.borrow().unreported(id)
     }
 
-    /// Removes a request from those in flight.
+    /// Removes a request from the requests in flight.
     pub(super) fn remove_request(&self, id: RequestId) {
         self.requests.borrow_mut().remove(id);
     }
 
-    /// Notifies the scheduler of the end of an attempt, unless that was done before.
+    /// Reports the end of an attempt to the scheduler, unless it has already been reported.
     pub(super) fn report_attempt(
         &self,
         id: RequestId,
@@ -211,12 +214,12 @@
     ) {
         let Some(attempt) = self.requests.borrow_mut().take_unreported(id, number) else { return };
         self.counters.count_attempt(result.outcome);
-        let node_time_from = self.node_time_from(attempt, upload);
+        let node_time_start = self.node_time_start(attempt, upload);
         self.notify(&[Event::AttemptEnded {
             request: id,
             attempt: number,
             outcome: result.outcome,
-            elapsed_s: self.clock.now() - node_time_from,
+            elapsed_s: self.clock.now() - node_time_start,
             request_done: result.outcome == AttemptOutcome::Ok,
             not_resendable: upload.is_some_and(|upload| upload.is_taken()),
             usage: result.usage,
@@ -225,8 +228,9 @@
         }]);
     }
 
-    /// From when on an attempt's time counts as its node's: what the client took to send a streamed body does not.
-    fn node_time_from(&self, attempt: UnreportedAttempt, upload: Option<&Rc<UploadStream>>) -> f64 {
+    /// Start of the time that an attempt spent at its node, on the scheduler's clock. The time that the client takes to
+    /// send a streamed body is excluded.
+    fn node_time_start(&self, attempt: UnreportedAttempt, upload: Option<&Rc<UploadStream>>) -> f64 {
         let Some(upload) = upload else { return attempt.sent_at };
         match upload.ended_at() {
             Some(ended) => self.clock.at(ended).max(attempt.sent_at),
@@ -236,8 +240,8 @@
     }
 }
 
-/// For how long after its first attempt that may have run a request of the class may be sent again; `None` where time
-/// does not limit it.
+/// How long after its first attempt that a node may have executed a request of this class may be retried; `None` if
+/// there is no time limit.
 fn retry_window(class: &Class) -> Option<Duration> {
     match class.idempotency {
         Idempotency::WithKey { window_s, .. } => Some(seconds(window_s)),
@@ -245,7 +249,7 @@
     }
 }
 
-/// How long a request's id is remembered: longer than any request of these classes is in flight.
+/// How long request ids are remembered: longer than any request of these classes can be in flight.
 fn id_retention(classes: &[Class]) -> Duration {
     let longest_deadline_s = classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
     MIN_ID_RETENTION.max(seconds(longest_deadline_s) + OVERDUE_AFTER)
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! The core: the life of one request around the [`Scheduler`](crate::Scheduler). It knows no protocol.
+//! Protocol-independent request handling around the [`Scheduler`](crate::Scheduler).
 //!
-//! A frontend turns what its protocol says into a [`Call`] and awaits [`Dispatcher::serve`], which returns the one
-//! final [`Answer`]. The [`Dispatcher`] owns the scheduler, its clock, its timers and the decisions that are pending
-//! for each request in flight; a [`Transport`] carries attempts to storage nodes. Everything runs on one thread.
+//! A frontend translates each request of its protocol into a [`Call`] and awaits [`Dispatcher::serve`], which returns
+//! exactly one final [`Answer`]. The [`Dispatcher`] owns the scheduler, its clock, its timers and the queue of pending
+//! decisions of each request in flight; a [`Transport`] sends attempts to storage nodes. Everything runs on one thread.
 
 pub mod content;
 pub mod upload;
--- a/src/core/request_guard.rs
+++ b/src/core/request_guard.rs
@@ -1,4 +1,4 @@
-//! The guard of one request in flight.
+//! The registration of a request in flight with the scheduler.
 
 use crate::core::decision::PendingDecisions;
 use crate::core::{AttemptResult, Call, Dispatcher};
@@ -6,21 +6,21 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// A request in flight, from its arrival until it is no longer served.
+/// Registration of a request with the scheduler, from its arrival until it is no longer served.
 ///
-/// Dropped before [`RequestGuard::complete`], it notifies the scheduler that the client has disconnected; in either
-/// case an attempt that the scheduler takes to be in progress gets its outcome.
+/// A guard dropped before [`RequestGuard::complete`] notifies the scheduler that the client has disconnected. In either
+/// case, an attempt that the scheduler still considers in progress is reported as cancelled.
 pub struct RequestGuard {
-    /// The request's id with the scheduler.
+    /// The request's id in the scheduler.
     pub id: RequestId,
-    /// The scheduler's decisions on it.
+    /// The scheduler's decisions on the request.
     pub decisions: Rc<PendingDecisions>,
     dispatcher: Rc<Dispatcher>,
     is_complete: bool,
 }
 
 impl RequestGuard {
-    /// Adds a request to those in flight and notifies the scheduler of its arrival.
+    /// Adds a request to the requests in flight and notifies the scheduler of its arrival.
     pub fn register(dispatcher: &Rc<Dispatcher>, call: &Call) -> RequestGuard {
         let decisions = Rc::new(PendingDecisions::default());
         let id = dispatcher.insert_request(decisions.clone());
@@ -29,7 +29,7 @@
         guard
     }
 
-    /// Records that the scheduler knows the request's answer.
+    /// Records that the scheduler already knows the request's outcome, so that the drop reports no disconnect.
     pub fn complete(&mut self) {
         self.is_complete = true;
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// A call as the scheduler knows it.
+/// Converts a call to the scheduler's representation of a request.
 fn io_request(id: RequestId, call: &Call) -> IoRequest {
     let remaining = call.deadline.saturating_duration_since(Instant::now());
     IoRequest {
--- a/src/core/request_ids.rs
+++ b/src/core/request_ids.rs
@@ -1,20 +1,20 @@
-//! Detection of request ids that are used twice.
+//! Detection of duplicate request ids.
 
 use bytes::Bytes;
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Ids that are remembered at once: it bounds the memory they take.
-const CAPACITY: usize = 8192;
+/// Maximum number of ids remembered at a time, which bounds their memory.
+const MAX_IDS: usize = 8192;
 
-/// An id and the moment at which a request claimed it.
+/// A request id and the time at which it was claimed.
 struct ClaimedId {
     claimed_at: Instant,
     id: Bytes,
 }
 
-/// The ids of recent requests, those in flight among them.
+/// The ids of recent requests, including those in flight.
 pub struct RecentRequestIds {
     retention: Duration,
     known: HashSet<Bytes>,
@@ -22,15 +22,15 @@
 }
 
 impl RecentRequestIds {
-    /// An empty set whose ids are remembered for `retention`, or until [`CAPACITY`] newer ones have come.
+    /// Creates an empty set. Each id is remembered for `retention`, or until it is evicted by [`MAX_IDS`] newer ones.
     pub fn new(retention: Duration) -> RecentRequestIds {
         RecentRequestIds { retention, known: HashSet::new(), by_age: VecDeque::new() }
     }
 
-    /// Adds an id; false if it is known already.
+    /// Adds an id. Returns false if the set already contains it.
     pub fn claim(&mut self, id: &Bytes) -> bool {
         let now = Instant::now();
-        self.forget_old(now);
+        self.evict_old(now);
         let is_new = self.known.insert(id.clone());
         if is_new {
             self.by_age.push_back(ClaimedId { claimed_at: now, id: id.clone() });
@@ -38,9 +38,9 @@
         is_new
     }
 
-    fn forget_old(&mut self, now: Instant) {
+    fn evict_old(&mut self, now: Instant) {
         while let Some(oldest) = self.by_age.front() {
-            if oldest.claimed_at + self.retention > now && self.by_age.len() < CAPACITY {
+            if oldest.claimed_at + self.retention > now && self.by_age.len() < MAX_IDS {
                 return;
             }
             self.known.remove(&oldest.id);
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,4 +1,5 @@
-//! The requests in flight: where the scheduler's decisions on each are delivered, and which attempt is in progress.
+//! Table of the requests in flight: the channel for the scheduler's decisions on each request, and its attempt in
+//! progress.
 
 use crate::core::Clock;
 use crate::core::decision::{Decision, PendingDecisions, SendDecision};
@@ -7,16 +8,16 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// An attempt whose end the scheduler was not notified of yet.
+/// An attempt whose end has not been reported to the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub struct UnreportedAttempt {
-    /// Which of the request's attempts, counted from 0.
+    /// Zero-based index of the attempt among the request's attempts.
     pub number: usize,
-    /// When it was sent, on the scheduler's clock.
+    /// When the decision to send the attempt was delivered, on the scheduler's clock.
     pub sent_at: f64,
 }
 
-/// A request in flight, as the dispatcher knows it.
+/// The dispatcher's record of a request in flight.
 struct RequestEntry {
     decisions: Rc<PendingDecisions>,
     attempts: usize,
@@ -31,7 +32,7 @@
 }
 
 impl RequestTable {
-    /// Adds a request under a free id.
+    /// Adds a request and returns its id, which no other request in flight has.
     pub fn insert(&mut self, decisions: Rc<PendingDecisions>) -> RequestId {
         let mut id = RequestId(self.next_id);
         while self.entries.contains_key(&id) {
@@ -42,19 +43,19 @@
         id
     }
 
-    /// Removes a request; decisions on it that come later are ignored.
+    /// Removes a request; later decisions on it are ignored.
     pub fn remove(&mut self, id: RequestId) {
         self.entries.remove(&id);
     }
 
-    /// Delivers a decision to the task that serves the request, if it is still in flight.
+    /// Delivers a decision to the task that serves the request, if the request is still in flight.
     pub fn deliver(&self, id: RequestId, decision: Decision) {
         if let Some(entry) = self.entries.get(&id) {
             entry.decisions.send(decision);
         }
     }
 
-    /// Delivers the decision to send the next attempt, which is unreported from here on.
+    /// Delivers the decision to send the next attempt and records the attempt as unreported.
     pub fn deliver_send(&mut self, id: RequestId, node: NodeId, expires_at: f64, clock: Clock) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         let attempt = entry.attempts;
@@ -64,12 +65,13 @@
         entry.decisions.send(Decision::Send(SendDecision { attempt, node, expires_at, decided_at }));
     }
 
-    /// The attempt whose end was not reported yet.
+    /// The request's attempt whose end has not been reported, if any.
     pub fn unreported(&self, id: RequestId) -> Option<UnreportedAttempt> {
         self.entries.get(&id)?.unreported
     }
 
-    /// Takes the attempt of this number for its report; none if its end was reported before.
+    /// Removes and returns the unreported attempt with this number, to report its end; `None` if its end has already
+    /// been reported.
     pub fn take_unreported(&mut self, id: RequestId, number: usize) -> Option<UnreportedAttempt> {
         let entry = self.entries.get_mut(&id)?;
         entry.unreported.take_if(|attempt| attempt.number == number)
--- a/src/core/shedding.rs
+++ b/src/core/shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding as the dispatcher sees it: the monitor that observes the scheduler, and the levels it decides on.
+//! Load shedding in the dispatcher: the monitor that observes the scheduler, and the shedding levels that it sets.
 
 use crate::core::{Clock, Dispatcher};
 use crate::metrics::counters::SheddingGauges;
@@ -8,11 +8,11 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// The load monitor, if levels are on, and the processor time that it watches.
+/// The load monitor, if load shedding is on, and the scheduler time that is one of its signals.
 #[derive(Default)]
 pub(super) struct SheddingState {
     monitor: RefCell<Option<LoadMonitor>>,
-    /// What the scheduler has used of the processor since the monitor was set.
+    /// Total duration of the scheduler's runs since the monitor was set.
     scheduler_time: Cell<Duration>,
 }
 
@@ -37,22 +37,22 @@
 }
 
 impl Dispatcher {
-    /// Sets the monitor that decides on the shedding levels from now on, with nothing shed at first; `None` turns
-    /// load shedding off.
+    /// Sets the monitor that determines the shedding levels from now on, and resets the level so that nothing is shed.
+    /// `None` turns load shedding off.
     pub fn set_load_monitor(&self, monitor: Option<LoadMonitor>) {
         self.shedding.set_monitor(monitor);
         self.counters.set_shedding(SheddingGauges::default());
         self.notify(&[Event::SheddingLevelChanged(SheddingLevel::default())]);
     }
 
-    /// Calls a function with the load monitor and the present time on the scheduler's clock; `None` where load
+    /// Calls `visit` with the load monitor and the current time on the scheduler's clock. Returns `None` if load
     /// shedding is off.
     pub fn with_load_monitor<R>(&self, visit: impl FnOnce(&mut LoadMonitor, f64) -> R) -> Option<R> {
         let now = self.clock().now();
         self.shedding.with_monitor(|monitor| visit(monitor, now))
     }
 
-    /// Notifies the scheduler of the level in force, if it changed since the last notification.
+    /// Notifies the scheduler of the shedding level in force, if it has changed since the last notification.
     pub fn apply_shedding_level(&self) {
         let changed_level = self.with_load_monitor(|monitor, now| monitor.take_level_update(now)).flatten();
         if let Some(level) = changed_level {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Evaluates the load signals, notifies the scheduler of a new level and returns the levels that changed.
+    /// Evaluates the load signals, notifies the scheduler of a changed level and returns the level transitions.
     /// `memory` and `descriptors` are the fractions in use.
     pub fn evaluate_shedding(&self, memory: f64, descriptors: f64) -> Vec<LevelTransition> {
         let scheduler_cpu_s = self.shedding.scheduler_time.get().as_secs_f64();
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,4 +1,4 @@
-//! The wake-ups that the scheduler asked for, and the runs that wait for the end of its tick.
+//! Timers for the wake-ups that the scheduler requests and for its runs that are delayed to the end of a tick.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -6,16 +6,16 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// A set of moments to wait for, earliest first.
+/// A set of instants to wait for, earliest first.
 #[derive(Default)]
 pub struct Timers {
     scheduled: RefCell<BinaryHeap<Reverse<Instant>>>,
-    /// Notified when a moment is scheduled that comes before all others.
+    /// Notified when a new earliest instant is scheduled.
     rescheduled: Notify,
 }
 
 impl Timers {
-    /// Adds a moment.
+    /// Adds an instant.
     pub fn schedule(&self, at: Instant) {
         let is_earliest = self.earliest().is_none_or(|earliest| at < earliest);
         self.scheduled.borrow_mut().push(Reverse(at));
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Waits until the earliest moment has come, and removes it.
+    /// Waits for the earliest instant and removes it.
     pub async fn next(&self) {
         loop {
             match self.earliest() {
