--- a/src/core/answer.rs
+++ b/src/core/answer.rs
@@ -3,16 +3,17 @@
 use crate::core::content::StreamedBody;
 use crate::metrics::counters::InFlightRequest;
 
-/// The one final answer to a request.
+/// The final answer to a request; each request gets exactly one.
 #[derive(Debug)]
 pub enum Answer {
-    /// Served: the node's body. Whoever forwards the body records the outcome, when its last byte is out or it breaks.
+    /// Served, with the response body of the node. The frontend that forwards the body records the outcome when the
+    /// last byte has been sent or the body has ended early.
     Served(StreamedBody, InFlightRequest),
-    /// Rejected without effect; the client may safely send it again.
+    /// Rejected without effect; the client may safely retry the request.
     Rejected {
-        /// Seconds after which a retry makes sense; 0 where nothing is known.
+        /// Seconds that the client should wait before it retries; 0 if unknown.
         retry_after_s: f64,
     },
-    /// Failed; it may have run.
+    /// Failed; a node may have executed the request.
     Failed,
 }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at a storage node: who carries it, how far it was written, and how it ended.
+//! Attempts to execute a request at a storage node: the transport, its write progress and the attempt's result.
 
 use crate::core::content::StreamedBody;
 use crate::core::{NodeRequest, SendPermit};
@@ -7,13 +7,14 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// Carries attempts to storage nodes.
+/// Sends attempts to storage nodes.
 pub trait Transport {
-    /// Sends one attempt, once.
+    /// Sends one attempt; the request is written at most once.
     ///
-    /// It ends by the time of its permit or, once it forwards a streamed body, by the time that the body sets. It
-    /// checks the permit right before the first byte and records there how much it has written. Dropping the future
-    /// cancels the attempt: when the drop returns, nothing of it can reach the node any more.
+    /// The attempt ends when its permit expires or, once it forwards a streamed body, at
+    /// [`UploadStream::attempt_deadline`](crate::core::upload::UploadStream::attempt_deadline). The transport checks
+    /// the permit immediately before the first byte and records the write progress in it. Dropping the future cancels
+    /// the attempt: after the drop, no further byte of it is written.
     fn send(
         &self,
         node: NodeId,
@@ -22,21 +23,22 @@
     ) -> impl Future<Output = AttemptResult>;
 }
 
-/// How an attempt ended, and what came back with it.
+/// Outcome of an attempt and the data that the node returned.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The body of a served request.
+    /// Response body; empty unless the request was served.
     pub body: StreamedBody,
-    /// What the volume was served over all heads, in multiples of its plan's base rate.
+    /// Rate at which the volume is served across all heads, as a multiple of its plan's base rate, if the node reported
+    /// it.
     pub usage: Option<f64>,
-    /// The node's load report.
+    /// Load report returned by the node; empty if there was none.
     pub load_report: LoadReport,
 }
 
 impl AttemptResult {
-    /// An attempt that brought nothing back.
+    /// Creates a result without a body, usage or load report.
     pub fn empty(outcome: AttemptOutcome) -> AttemptResult {
         AttemptResult { outcome, body: Bytes::new().into(), usage: None, load_report: LoadReport::default() }
     }
@@ -45,17 +47,18 @@
 /// How much of an attempt's request has been written to its node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// Nothing: for the node there was no attempt.
+    /// Nothing: the node has not seen the attempt.
     #[default]
     Nothing,
-    /// A part: the node can't have begun.
+    /// Part of the request: the node can't have started to execute it.
     Partial,
-    /// All: it may have run.
+    /// The complete request: the node may have executed it.
     Complete,
 }
 
 impl WriteProgress {
-    /// The outcome of an attempt that was cancelled at this point: what its node never had complete can't have run.
+    /// Outcome of an attempt that is cancelled with this write progress. A node can't have executed a request that it
+    /// did not receive completely.
     pub fn outcome_if_cancelled(self) -> AttemptOutcome {
         match self {
             WriteProgress::Nothing | WriteProgress::Partial => AttemptOutcome::NotSent,
--- a/src/core/call.rs
+++ b/src/core/call.rs
@@ -1,4 +1,4 @@
-//! A request as a frontend hands it to the core, and the client that waits for its answer.
+//! A request as a frontend passes it to the dispatcher, and the client that waits for its answer.
 
 use crate::core::NodeRequest;
 use crate::scheduler::{ClassId, ExtentId, PlanId, ShardId, VolumeId};
@@ -6,39 +6,40 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The client that waits for an answer, as its frontend knows it.
+/// Connection state of a client that waits for an answer, provided by its frontend.
 pub trait Client: fmt::Debug {
-    /// Whether it is still connected, at this moment.
+    /// Whether the client is connected at this moment.
     fn is_connected(&self) -> bool;
 
-    /// Whether it is connected, and nothing that it sent waits unread for its end to stand behind, at this moment.
+    /// Whether the client is connected at this moment and nothing that it sent is unread, so that no unread bytes can
+    /// hide that it has disconnected.
     fn has_nothing_unread(&self) -> bool;
 }
 
-/// A request as a frontend hands it over.
+/// A request as a frontend passes it to the dispatcher.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// The plan of its volume.
+    /// Plan of the volume.
     pub plan: PlanId,
-    /// Its volume.
+    /// Volume that the request accesses.
     pub volume: VolumeId,
-    /// The extent that it reads or writes, if it names one.
+    /// Extent that the request reads or writes, if it names one.
     pub extent: Option<ExtentId>,
-    /// The shard with the data; `None` for a new object, which may be placed on any shard.
+    /// Shard that holds the data; `None` for a new object, which may be placed on any shard.
     pub shard: Option<ShardId>,
-    /// Its size, in units.
+    /// Size of the request, in units.
     pub units: f64,
-    /// Number of heads that the volume's requests come through.
+    /// Number of heads that receive requests for the volume.
     pub heads: u32,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked the request as its own retry.
     pub client_retry: bool,
-    /// When the client stops waiting.
+    /// When the client stops waiting for the answer.
     pub deadline: Instant,
-    /// The client, where the frontend can tell at any moment whether it is connected. Without one, a frontend drops
-    /// the future of [`Dispatcher::serve`](crate::core::Dispatcher::serve) when the client disconnects.
+    /// The client, if the frontend can check at any moment whether it is connected. Otherwise the frontend drops the
+    /// future of [`Dispatcher::serve`](crate::core::Dispatcher::serve) when the client disconnects.
     pub client: Option<Rc<dyn Client>>,
-    /// What is sent to the node.
+    /// Request that each attempt sends to its node.
     pub node_request: Rc<NodeRequest>,
 }
--- a/src/core/content.rs
+++ b/src/core/content.rs
@@ -1,4 +1,4 @@
-//! Request and response bodies that need not be in memory as a whole: a buffered beginning and a stream of the rest.
+//! Request and response bodies that are buffered, streamed, or buffered at the beginning and streamed for the rest.
 
 use crate::core::upload::UploadStream;
 use bytes::Bytes;
@@ -9,29 +9,29 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// A body that ended before its last byte.
+/// Error of a body that ended before its last byte.
 #[derive(Clone, Debug, Error)]
-#[error("broken off: {reason}")]
+#[error("body incomplete: {reason}")]
 pub struct IncompleteBody {
-    /// What ended it.
+    /// Why the body ended early.
     pub reason: String,
 }
 
 impl IncompleteBody {
-    /// An error with its reason in words.
+    /// Creates an error with the given reason.
     pub fn new(reason: impl Into<String>) -> IncompleteBody {
         IncompleteBody { reason: reason.into() }
     }
 }
 
-/// The bytes of a body as they arrive. Its sender is held back until the next item is polled.
+/// The bytes of a body as they arrive. The sender is subject to backpressure until the next item is polled.
 pub type ByteStream = Pin<Box<dyn Stream<Item = Result<Bytes, IncompleteBody>>>>;
 
-/// A body whose beginning is in memory and whose rest, if any, is streamed.
+/// A body whose beginning is buffered and whose rest, if any, is streamed.
 pub struct StreamedBody {
-    /// The beginning, in memory.
+    /// The buffered beginning of the body.
     pub buffered: Bytes,
-    /// What follows the beginning; `None` if that is the complete body.
+    /// Stream of the remaining bytes; `None` if `buffered` is the complete body.
     pub rest: Option<ByteStream>,
     /// Length of the complete body in bytes, if known.
     pub length: Option<u64>,
@@ -54,7 +54,8 @@
 }
 
 impl StreamedBody {
-    /// Reads the complete body; `None` if it breaks off or its rest takes it past `max_bytes`.
+    /// Reads the complete body. Returns `None` if the body ends early, or if it exceeds `max_bytes` while the rest is
+    /// read.
     pub async fn collect(mut self, max_bytes: usize) -> Option<Bytes> {
         let Some(rest) = &mut self.rest else { return Some(self.buffered) };
         let mut collected = Vec::from(self.buffered);
@@ -68,17 +69,17 @@
     }
 }
 
-/// The body of a request to a node.
+/// Body of a request to a node.
 #[derive(Clone, Debug)]
 pub enum Payload {
-    /// In memory, so that the request can be sent again.
+    /// Buffered in memory, so that the request can be retried.
     Buffered(Bytes),
-    /// Forwarded as it arrives, once.
+    /// Forwarded to the node as it arrives; it can be sent only once.
     Streamed(Rc<UploadStream>),
 }
 
 impl Payload {
-    /// Length in bytes; 0 if it is unknown.
+    /// Length in bytes; 0 if unknown.
     pub fn length(&self) -> u64 {
         match self {
             Payload::Buffered(bytes) => bytes.len() as u64,
--- a/src/core/node_request.rs
+++ b/src/core/node_request.rs
@@ -1,25 +1,25 @@
-//! The request that goes to a storage node, the same for each attempt.
+//! The request sent to a storage node, identical for each attempt.
 
 use crate::core::content::Payload;
 use bytes::Bytes;
 
-/// What a request does to the data.
+/// Whether a request reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Reads them.
+    /// Reads data.
     Read,
-    /// Writes them.
+    /// Writes data.
     Write,
 }
 
-/// The part of a request that goes to a node unchanged.
+/// The part of a request that is sent to the node unchanged in each attempt.
 #[derive(Clone, Debug)]
 pub struct NodeRequest {
-    /// Read or write.
+    /// Whether the request reads or writes.
     pub operation: Operation,
-    /// The object's name, as nodes know it.
+    /// HTTP request target: the object's path and, for a range, its query.
     pub target: String,
-    /// The request's id, unique over all heads, as the client wrote it.
+    /// The request's id, unique across all heads, byte for byte as received from the client.
     pub id: Bytes,
     /// The idempotency key by which nodes recognise a retry.
     pub idempotency_key: Option<Bytes>,
--- a/src/core/send_permit.rs
+++ b/src/core/send_permit.rs
@@ -1,4 +1,4 @@
-//! The permission of an attempt to begin, checked right before its first byte is written.
+//! The permission to send an attempt, checked immediately before its first byte is written.
 
 use crate::core::upload::UploadStream;
 use crate::core::{Client, ShutdownDeadline, WriteProgress};
@@ -10,40 +10,40 @@
 /// Why the first byte of an attempt may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitExpired {
-    /// The attempt's time is over.
+    /// The attempt's deadline has passed.
     Deadline,
-    /// The time in which its class allows a retry is over.
+    /// The retry window of the request's class has ended.
     RetryWindow,
-    /// The head has to have answered everything by now.
+    /// The shutdown deadline of the head has passed.
     Shutdown,
-    /// Its client has disconnected.
+    /// The client has disconnected.
     ClientDisconnected,
-    /// Its client may have disconnected: unread bytes of its upload may hide that.
+    /// The client may have disconnected: unread bytes of its upload can hide that.
     ClientUnconfirmed,
 }
 
-/// The permission of one attempt to begin, and the record of how much of it was written.
+/// Permission to send one attempt, and the record of how much of the request was written.
 ///
-/// A transport checks it right before the first byte: a connection may take long to establish, and what held when the
-/// scheduler decided may no longer hold.
+/// A transport checks the permit immediately before the first byte: a connection may take long to establish, and the
+/// conditions under which the scheduler decided may no longer hold.
 #[derive(Debug)]
 pub struct SendPermit {
-    /// When the attempt ends at the latest.
+    /// Deadline of the attempt.
     pub expires_at: Instant,
-    /// When it has to have begun at the latest: for a retry, the end of its class's retry window.
+    /// For a retry, the end of its class's retry window: the attempt must begin before it.
     pub retry_window_ends_at: Option<Instant>,
-    /// When the head has to have answered everything; it may be set while the attempt is in progress.
+    /// Shutdown deadline of the head; it may be set while the attempt is in progress.
     pub shutdown_deadline: Rc<ShutdownDeadline>,
     /// The client that waits for the answer.
     pub client: Option<Rc<dyn Client>>,
-    /// The body, if it is forwarded as it arrives.
+    /// The upload, if the body is streamed.
     pub upload: Option<Rc<UploadStream>>,
-    /// How much of the request was written; the core reads it when the attempt has ended.
+    /// How much of the request has been written; the dispatcher reads it after the attempt has ended.
     pub written: Cell<WriteProgress>,
 }
 
 impl SendPermit {
-    /// A permit without a retry window, a shutdown deadline or a client.
+    /// Creates a permit without a retry window, a shutdown deadline or a client.
     pub fn expiring_at(expires_at: Instant) -> SendPermit {
         SendPermit {
             expires_at,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Why the attempt may not begin at this moment; `None` if it may.
+    /// Returns why the attempt may not begin at `now`; `None` if it may.
     pub fn expired(&self, now: Instant) -> Option<PermitExpired> {
         let has_passed = |limit: Option<Instant>| limit.is_some_and(|limit| now >= limit);
         if has_passed(Some(self.expires_at)) {
@@ -76,15 +76,15 @@
         None
     }
 
-    /// The client and its upload, if that may hide that the client has disconnected and it is not certain for an attempt
-    /// that begins within `margin`.
+    /// Returns the client and its upload if a disconnect of the client may be hidden behind unread bytes, that is, if
+    /// the last confirmation is too old for an attempt that begins within `margin`.
     pub fn unconfirmed_upload(&self, now: Instant, margin: Duration) -> Option<(&dyn Client, &UploadStream)> {
         let client = self.client.as_deref()?;
         let upload = self.upload.as_deref()?;
         (!upload.is_client_confirmed(now, margin)).then_some((client, upload))
     }
 
-    /// The latest moment at which the attempt may begin, and so until when to wait for a connection.
+    /// Latest time at which the attempt may begin, and therefore the limit of waiting for a connection.
     pub fn latest_start(&self) -> Instant {
         let mut latest = self.expires_at;
         for limit in [self.retry_window_ends_at, self.shutdown_deadline.get()].into_iter().flatten() {
--- a/src/core/serve.rs
+++ b/src/core/serve.rs
@@ -1,14 +1,14 @@
-//! The life of one request, from its arrival to its one final answer.
+//! Serving a request from its arrival to its final answer.
 //!
 //! A request is in one of three states (`ServeState`):
 //!
-//! - `WaitingForDecision`: the scheduler has to decide. The request is queued, or backs off between two attempts.
-//! - `Attempting`: one attempt is about to be sent to a node, or in progress there.
-//! - `Finished`: its answer is known.
+//! - `WaitingForDecision`: the request waits for the scheduler's decision, queued or in backoff between two attempts.
+//! - `Attempting`: an attempt is about to be sent to a node, or in progress there.
+//! - `Finished`: the outcome is known.
 //!
-//! Forwarding a streamed body, one that is not in memory, is no state of its own: it is `Attempting` with
-//! `is_forwarding_body`, once the attempt has taken the body. From then on the request can't be sent again, the
-//! scheduler's deadline no longer applies, and the shutdown deadline doesn't cut the request off.
+//! Forwarding a streamed body is not a state of its own: it is `Attempting` with `is_forwarding_body()` true, after the
+//! attempt has taken the body. From then on the request can't be retried, the scheduler's deadline no longer applies,
+//! and the shutdown deadline does not abort the request.
 
 use crate::core::content::StreamedBody;
 use crate::core::decision::{Decision, SendDecision};
@@ -24,21 +24,21 @@
 use std::rc::Rc;
 use tokio::time::{Instant, sleep_until};
 
-/// Longest wait that a client is advised, in seconds.
+/// Longest retry delay that a client is advised, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 3600.0;
 
-/// The state of a request that is being served.
+/// State of a request that is being served.
 enum ServeState {
-    /// The scheduler has to decide.
+    /// Waiting for the scheduler's decision.
     WaitingForDecision,
-    /// An attempt is to be sent, or in progress.
+    /// An attempt is about to be sent, or in progress.
     Attempting(SendDecision),
-    /// The outcome is known; what remains is to answer.
+    /// The outcome is known, and the answer can be returned.
     Finished(Conclusion),
 }
 
 impl ServeState {
-    /// The state after a decision that came while no attempt was in progress.
+    /// The state that follows a decision made while no attempt is in progress.
     fn after_decision(decision: Decision) -> ServeState {
         match decision {
             Decision::Send(send) => ServeState::Attempting(send),
@@ -50,9 +50,9 @@
         }
     }
 
-    /// The state after a decision that ended an attempt. A request has one attempt at a time, so a decision to send
-    /// another is not followed.
-    fn after_interruption(decision: Decision) -> ServeState {
+    /// The state that follows a decision that cancelled an attempt. A request has at most one attempt at a time, so a
+    /// decision to send another one is ignored.
+    fn after_cancellation(decision: Decision) -> ServeState {
         match decision {
             Decision::Send(_) => ServeState::WaitingForDecision,
             other => ServeState::after_decision(other),
@@ -60,36 +60,36 @@
     }
 }
 
-/// Why a request is finished.
+/// How a request has ended.
 enum Conclusion {
-    /// A node served it.
+    /// A node served the request.
     Served(StreamedBody),
-    /// The scheduler rejected it.
+    /// The scheduler rejected the request.
     Rejected {
         /// Seconds that the client should wait before it retries.
         retry_after_s: f64,
     },
-    /// The scheduler had it fail.
+    /// The scheduler decided that the request has failed.
     Failed,
-    /// The shutdown deadline came; the scheduler takes the request to be in flight.
-    CutOffByShutdown,
-    /// The scheduler owes a decision past the request's deadline.
+    /// The shutdown deadline passed; the scheduler still considers the request in flight.
+    AbortedByShutdown,
+    /// The scheduler made no decision within [`OVERDUE_AFTER`] after the request's deadline.
     SchedulerOverdue,
-    /// Its client ended a streamed body before an attempt had taken it; the scheduler takes the request to be in flight.
-    UploadBroken,
+    /// The streamed body ended early, before an attempt took it; the scheduler still considers the request in flight.
+    UploadIncomplete,
 }
 
-/// What ended an attempt.
+/// How an attempt ended.
 enum AttemptCompletion {
-    /// It ended by itself.
+    /// The attempt completed without being cancelled.
     Completed(AttemptResult),
-    /// A decision of the scheduler cancelled it.
-    Interrupted(Decision),
-    /// The shutdown deadline came.
-    CutOffByShutdown,
+    /// A decision of the scheduler cancelled the attempt.
+    Cancelled(Decision),
+    /// The shutdown deadline passed.
+    AbortedByShutdown,
 }
 
-/// An attempt of which nothing can reach the node any more.
+/// An attempt that has ended, so that no further byte of it is written to the node.
 struct EndedAttempt {
     number: usize,
     outcome: AttemptOutcome,
@@ -97,8 +97,8 @@
 }
 
 impl Dispatcher {
-    /// Serves one request, from its arrival to its one final answer. Dropping the future notifies the scheduler that
-    /// the client has disconnected.
+    /// Serves a request from its arrival to its final answer. Dropping the future notifies the scheduler that the
+    /// client has disconnected.
     pub async fn serve<T: Transport>(
         self: &Rc<Self>,
         transport: &T,
@@ -131,8 +131,8 @@
                 request.record_overdue();
                 return request.answer(conclusion, in_flight);
             }
-            // The scheduler still takes the request to be in flight: the guard's drop corrects that.
-            Conclusion::CutOffByShutdown | Conclusion::UploadBroken => {}
+            // The scheduler still considers the request in flight: dropping the guard notifies it of the end.
+            Conclusion::AbortedByShutdown | Conclusion::UploadIncomplete => {}
             Conclusion::Served(_) | Conclusion::Rejected { .. } | Conclusion::Failed => {
                 request.guard.complete();
             }
@@ -145,16 +145,16 @@
     }
 }
 
-/// A request between its arrival and its answer.
+/// A request that has arrived and is not yet answered.
 struct ActiveRequest<'a> {
     dispatcher: &'a Dispatcher,
     call: &'a Call,
     guard: RequestGuard,
-    /// Whether any attempt may have run.
+    /// Whether a node may have executed any of the request's attempts.
     may_have_run: bool,
-    /// When the class's retry window ends, from the first attempt that may have run.
+    /// End of the class's retry window, which begins with the first attempt that a node may have executed.
     retry_window_ends_at: Option<Instant>,
-    /// When the scheduler is overdue with its answer.
+    /// When the scheduler's decision is overdue.
     overdue_at: Instant,
 }
 
@@ -171,21 +171,21 @@
         }
     }
 
-    /// Waits for the scheduler's decision, no longer than until the shutdown deadline or until it is overdue. A streamed
-    /// body is read ahead meanwhile, so that its client's end is seen.
+    /// Waits for the scheduler's decision until it is overdue or the shutdown deadline has passed. Meanwhile a streamed
+    /// body is read ahead, so that a disconnect of its client is detected.
     async fn wait_for_decision(&self, shutdown: Pin<&mut impl Future<Output = ()>>) -> ServeState {
         tokio::select! {
             biased;
             decision = self.guard.decisions.recv() => ServeState::after_decision(decision),
             () = shutdown, if !self.is_forwarding_body() => {
-                ServeState::Finished(Conclusion::CutOffByShutdown)
+                ServeState::Finished(Conclusion::AbortedByShutdown)
             }
             () = sleep_until(self.overdue_at) => ServeState::Finished(Conclusion::SchedulerOverdue),
-            () = upload_broken(self.upload()) => ServeState::Finished(Conclusion::UploadBroken),
+            () = upload_incomplete(self.upload()) => ServeState::Finished(Conclusion::UploadIncomplete),
         }
     }
 
-    /// Sends an attempt and waits for its end. When it returns, nothing of the attempt can reach the node any more.
+    /// Sends an attempt and waits until it ends. After that, no further byte of the attempt is written to the node.
     async fn run_attempt<T: Transport>(
         &mut self,
         transport: &T,
@@ -193,25 +193,25 @@
         mut shutdown: Pin<&mut impl Future<Output = ()>>,
     ) -> EndedAttempt {
         let permit = Rc::new(self.send_permit(send));
-        // Boxed, so that the future of a request that waits doesn't have the size of an attempt's.
+        // Boxed, so that a request that is only waiting does not allocate the size of the attempt's future.
         let mut sending = Box::pin(transport.send(send.node, &self.call.node_request, &permit));
         let end = loop {
             tokio::select! {
-                // Decisions come first: an attempt that is cancelled before its first byte is never written.
+                // Decisions are polled first, so that an attempt cancelled before its first byte is never written.
                 biased;
-                decision = self.guard.decisions.recv() => break AttemptCompletion::Interrupted(decision),
+                decision = self.guard.decisions.recv() => break AttemptCompletion::Cancelled(decision),
                 result = sending.as_mut() => break AttemptCompletion::Completed(result),
                 () = shutdown.as_mut(), if !self.is_forwarding_body() => {
-                    break AttemptCompletion::CutOffByShutdown;
+                    break AttemptCompletion::AbortedByShutdown;
                 }
                 () = streaming_started(self.upload()) => self.notify_streaming_started(),
             }
         };
-        // From here on it is certain how much of the attempt was written.
+        // After the drop, `permit.written` no longer changes.
         drop(sending);
         let outcome = match &end {
             AttemptCompletion::Completed(result) => result.outcome,
-            AttemptCompletion::Interrupted(_) | AttemptCompletion::CutOffByShutdown => {
+            AttemptCompletion::Cancelled(_) | AttemptCompletion::AbortedByShutdown => {
                 permit.written.get().outcome_if_cancelled()
             }
         };
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Records an ended attempt's outcome: whether the request may have run, when its retry window ends, and, for a
-    /// streamed body, when the scheduler is overdue.
+    /// Updates the request after an attempt: whether a node may have executed it, when its retry window ends and, for a
+    /// streamed body, when the scheduler's decision is overdue.
     fn record_attempt_outcome(&mut self, decided_at: Instant, outcome: AttemptOutcome) {
         if self.is_forwarding_body() {
             self.overdue_at = self.overdue_at.max(Instant::now() + OVERDUE_AFTER);
@@ -247,8 +247,8 @@
         }
     }
 
-    /// Notifies the scheduler of an ended attempt and returns the state that follows. At the shutdown deadline the
-    /// guard does so, after the scheduler was notified that no answer is owed any more.
+    /// Reports an ended attempt to the scheduler and returns the next state. At the shutdown deadline, dropping the
+    /// guard reports the attempt, after it has notified the scheduler that no answer is needed any more.
     fn report_attempt(&self, attempt: EndedAttempt) -> ServeState {
         match attempt.end {
             AttemptCompletion::Completed(result) => {
@@ -258,11 +258,11 @@
                     _ => ServeState::WaitingForDecision,
                 }
             }
-            AttemptCompletion::Interrupted(decision) => {
+            AttemptCompletion::Cancelled(decision) => {
                 self.notify_attempt_ended(attempt.number, &AttemptResult::empty(attempt.outcome));
-                ServeState::after_interruption(decision)
+                ServeState::after_cancellation(decision)
             }
-            AttemptCompletion::CutOffByShutdown => ServeState::Finished(Conclusion::CutOffByShutdown),
+            AttemptCompletion::AbortedByShutdown => ServeState::Finished(Conclusion::AbortedByShutdown),
         }
     }
 
@@ -270,43 +270,45 @@
         self.dispatcher.report_attempt(self.guard.id, number, result, self.upload());
     }
 
-    /// Notifies the scheduler that a streamed body is forwarded, so that its deadline no longer applies.
+    /// Notifies the scheduler that a streamed body is being forwarded, so that the request's deadline no longer
+    /// applies.
     fn notify_streaming_started(&self) {
         self.dispatcher.notify(&[Event::StreamingStarted { request: self.guard.id }]);
     }
 
-    /// Records that the scheduler owes a decision.
+    /// Counts and logs that the scheduler's decision is overdue.
     fn record_overdue(&self) {
         self.dispatcher.counters.overdue.add();
         log::error!("core: no decision by the request's deadline, request={}", self.guard.id.0);
     }
 
-    /// The answer to a finished request, whose outcome is recorded here, or for a body by whoever forwards it.
+    /// The answer to a finished request. Its outcome is recorded here, except for a served request: the frontend that
+    /// forwards the body records that.
     fn answer(&self, conclusion: Conclusion, in_flight: InFlightRequest) -> Answer {
         match conclusion {
             Conclusion::Served(body) => Answer::Served(body, in_flight),
             Conclusion::Rejected { retry_after_s } => rejected(retry_after_s, &in_flight),
-            // Nobody waits for it: it counts as gone.
-            Conclusion::UploadBroken => Answer::Failed,
-            Conclusion::CutOffByShutdown if !self.may_have_run => rejected(0.0, &in_flight),
-            Conclusion::CutOffByShutdown | Conclusion::Failed | Conclusion::SchedulerOverdue => {
+            // The client no longer waits: dropping `in_flight` counts the request as `gone`.
+            Conclusion::UploadIncomplete => Answer::Failed,
+            Conclusion::AbortedByShutdown if !self.may_have_run => rejected(0.0, &in_flight),
+            Conclusion::AbortedByShutdown | Conclusion::Failed | Conclusion::SchedulerOverdue => {
                 failed(&in_flight)
             }
         }
     }
 
-    /// The body that is forwarded as it arrives, if it isn't in memory.
+    /// The upload, if the request's body is streamed.
     fn upload(&self) -> Option<&'a Rc<UploadStream>> {
         self.call.node_request.payload.upload()
     }
 
-    /// Whether an attempt took the body that is forwarded as it arrives.
+    /// Whether an attempt has taken the streamed body to send it.
     fn is_forwarding_body(&self) -> bool {
         self.upload().is_some_and(|upload| upload.is_taken())
     }
 }
 
-/// Waits until a streamed body begins to be forwarded; for ever where the body is in memory.
+/// Waits until an attempt takes the streamed body; forever if the body is buffered.
 async fn streaming_started(upload: Option<&Rc<UploadStream>>) {
     match upload {
         Some(upload) => upload.wait_taken().await,
@@ -314,8 +316,9 @@
     }
 }
 
-/// Reads a streamed body ahead until it breaks off; waits for ever if it does not, or where the body is in memory.
-async fn upload_broken(upload: Option<&Rc<UploadStream>>) {
+/// Reads a streamed body ahead and returns if it ends early. Waits forever if it does not, or if the body is buffered
+/// or an attempt has taken it.
+async fn upload_incomplete(upload: Option<&Rc<UploadStream>>) {
     match upload {
         Some(upload) if !upload.is_taken() => {
             let error = upload.read_while_waiting().await;
--- a/src/core/upload.rs
+++ b/src/core/upload.rs
@@ -1,9 +1,10 @@
-//! A write's body that is too long to buffer: it is forwarded to a node as it arrives.
+//! Streamed uploads: bodies of writes that are too long to buffer and are forwarded to a node as they arrive.
 //!
-//! Unread bytes of it may hide that its client has disconnected: the connection's end stands behind them, and once the
-//! receive buffer is full, the client's system does not even send it. So the body is read ahead into memory before its
-//! attempt begins: while the request waits, as far as there is spare memory, and right before the attempt until it is
-//! certain that the client was connected a moment ago (`node::client_check`).
+//! Unread bytes of an upload can hide that its client has disconnected: the client's FIN follows them in the byte
+//! stream, and once the receive buffer is full, the client's kernel does not even send it. The body is therefore read
+//! ahead into memory before its attempt begins: while the request waits, as far as spare memory permits, and
+//! immediately before the attempt until it is certain that the client was connected a moment ago
+//! (`node::client_check`).
 
 use crate::core::content::IncompleteBody;
 use crate::resources::memory::{BodyMemory, MemoryReservation};
@@ -20,19 +21,20 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The bytes of an upload as its client sends them. The client is held back until the next item is polled.
+/// The bytes of an upload as its client sends them. The client is subject to backpressure until the next item is
+/// polled.
 pub trait UploadSource: Stream<Item = Result<Bytes, IncompleteBody>> {
-    /// Notes that nothing is waited for until the next poll: the time until then is not the client's.
+    /// Pauses the client's timeout until the next poll: the time until then is not counted as the client's delay.
     fn pause(self: Pin<&mut Self>);
 }
 
-/// Bytes that were read before an attempt took the body.
+/// Bytes read before an attempt takes the body.
 #[derive(Default)]
 struct ReadAhead {
     chunks: VecDeque<Bytes>,
-    /// How many bytes the chunks have.
+    /// Total length of the chunks, in bytes.
     length: usize,
-    /// Their part of the memory for bodies.
+    /// Reservation of body memory for the chunks.
     reservation: Option<MemoryReservation>,
 }
 
@@ -49,7 +51,7 @@
         Some(chunk)
     }
 
-    /// Gives back the memory that no chunk takes.
+    /// Releases reserved memory that no chunk uses.
     fn release_unused(&mut self) {
         if self.chunks.is_empty() {
             self.reservation = None;
@@ -60,33 +62,33 @@
     }
 }
 
-/// Memory that is taken at a time to read ahead while the request waits, in bytes.
+/// Step in which memory is reserved to read ahead while the request waits, in bytes.
 const READ_AHEAD_STEP_BYTES: usize = 256 * 1024;
 
-/// A write's body that is forwarded to a node as it arrives, and by one attempt only.
+/// Body of a write that a single attempt forwards to its node as it arrives.
 pub struct UploadStream {
     source: RefCell<Pin<Box<dyn UploadSource>>>,
     read_ahead: RefCell<ReadAhead>,
     memory: Rc<BodyMemory>,
-    /// An attempt has taken the body.
+    /// Whether an attempt has taken the body to send it.
     taken: Cell<bool>,
     /// Length of the complete body in bytes, if known.
     pub length: Option<u64>,
-    /// How many bytes have arrived.
+    /// Number of bytes received so far.
     received: Cell<u64>,
-    /// How long the client waits for its answer after the body's last byte.
+    /// How long the client waits for the answer after the body's last byte.
     response_timeout: Duration,
     /// Notified when an attempt takes the body.
     taken_notify: Notify,
-    /// When the body was taken or last yielded bytes.
+    /// When an attempt took the body or the body was last polled successfully.
     last_progress: Cell<Instant>,
-    /// When bytes last arrived.
+    /// When bytes were last received, or else when the upload was created.
     last_received: Cell<Instant>,
-    /// When the last byte arrived.
+    /// When the last byte was received.
     ended_at: Cell<Option<Instant>>,
-    /// The body broke off.
-    broken: Cell<bool>,
-    /// A moment at which the client was connected, if any is known.
+    /// Whether the source has failed before the body's last byte.
+    failed: Cell<bool>,
+    /// Latest time at which the client is known to have been connected, if any.
     client_confirmed_at: Cell<Option<Instant>>,
 }
 
@@ -97,14 +99,14 @@
 }
 
 impl UploadStream {
-    /// Longest time in which a node may accept nothing of the body before its attempt ends as stalled.
+    /// Maximum time for which a node may accept no bytes of the body before its attempt ends as stalled.
     const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-    /// How long after the client was known to be connected an attempt may begin. No attempt may begin over 0.1 s after
-    /// its client has disconnected; the rest is for the first byte's way to the node.
+    /// How long after the client was known to be connected an attempt may begin. No attempt may begin more than 0.1 s
+    /// after its client has disconnected; the remaining 20 ms allow for the transit of the first byte to the node.
     const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(80);
 
-    /// An upload that no attempt has taken yet. `beginning` was read from it before; `memory` is what more of it may be
-    /// read ahead into.
+    /// Creates an upload that no attempt has taken yet. `beginning` holds the bytes already read from the body,
+    /// `source` yields the rest, and `memory` is the memory budget for reading ahead.
     pub fn new(
         beginning: Bytes,
         source: Pin<Box<dyn UploadSource>>,
@@ -130,12 +132,13 @@
             last_progress: Cell::new(now),
             last_received: Cell::new(now),
             ended_at: Cell::new(None),
-            broken: Cell::new(false),
+            failed: Cell::new(false),
             client_confirmed_at: Cell::new(None),
         })
     }
 
-    /// Takes the body to send it; `None` if an earlier attempt has taken it, since it can't be sent again.
+    /// Takes the body to send it. Returns `None` if an earlier attempt has taken it, since the body can't be sent
+    /// again.
     pub fn take(self: &Rc<Self>) -> Option<UploadReader> {
         self.last_progress.set(Instant::now());
         self.taken_notify.notify_one();
@@ -143,7 +146,7 @@
         if taken_before { None } else { Some(UploadReader { upload: self.clone() }) }
     }
 
-    /// Whether an attempt has taken the body.
+    /// Whether an attempt has taken the body to send it.
     pub fn is_taken(&self) -> bool {
         self.taken.get()
     }
@@ -153,7 +156,7 @@
         self.taken_notify.notified().await;
     }
 
-    /// Reads and discards what is left of the body, so that a client that is still sending can read its answer.
+    /// Reads and discards the rest of the body, so that a client that is still sending can read its answer.
     pub async fn drain(self: Rc<Self>) {
         while let Some(Ok(_)) = poll_fn(|cx| self.poll(cx)).await {}
     }
@@ -178,18 +181,19 @@
                 self.received.set(self.received.get() + bytes.len() as u64);
                 self.last_received.set(now);
             }
-            Some(Err(_)) => self.broken.set(true),
+            Some(Err(_)) => self.failed.set(true),
             None => self.ended_at.set(Some(now)),
         }
         Poll::Ready(chunk)
     }
 
-    /// When the last byte arrived; `None` while more is to come.
+    /// When the last byte was received; `None` while more bytes are expected.
     pub fn ended_at(&self) -> Option<Instant> {
         self.ended_at.get()
     }
 
-    /// By when the attempt that sends the body must end. While bytes still arrive, it only must not stall.
+    /// Deadline of the attempt that sends the body: until the last byte is received, the stall timeout after the last
+    /// progress; then, the response timeout after the last byte.
     pub fn attempt_deadline(&self) -> Instant {
         match self.ended_at.get() {
             Some(ended_at) => ended_at + self.response_timeout,
@@ -198,9 +202,9 @@
     }
 }
 
-/// Reading ahead, before an attempt takes the body.
+/// Reading ahead before an attempt takes the body.
 impl UploadStream {
-    /// How many bytes are still to arrive, if that is known.
+    /// Number of bytes still to be received, if known.
     pub fn remaining(&self) -> Option<u64> {
         if self.ended_at.get().is_some() {
             return Some(0);
@@ -208,23 +212,23 @@
         Some(self.length?.saturating_sub(self.received.get()))
     }
 
-    /// How many bytes have arrived.
+    /// Number of bytes received so far.
     pub fn received(&self) -> u64 {
         self.received.get()
     }
 
-    /// When bytes last arrived, or else the upload began.
+    /// When bytes were last received, or when the upload was created if none were.
     pub fn last_received(&self) -> Instant {
         self.last_received.get()
     }
 
-    /// Waits for memory to read so many bytes ahead; those who came first get theirs first.
+    /// Waits for memory to read `bytes` further bytes ahead. Waiting uploads are served in order of arrival.
     pub async fn reserve_memory(&self, bytes: usize) {
         let reservation = self.memory.reserve(bytes).await;
         self.add_memory(reservation);
     }
 
-    /// Takes memory to read so many bytes ahead, if they are free; whether they were.
+    /// Reserves memory to read `bytes` further bytes ahead, if it is free, and returns whether it was.
     pub fn try_reserve_memory(&self, bytes: usize) -> bool {
         let reservation = self.memory.try_reserve(bytes);
         reservation.map(|reservation| self.add_memory(reservation)).is_some()
@@ -238,21 +242,21 @@
         }
     }
 
-    /// Whether there is memory to read more ahead.
+    /// Whether the reserved memory permits reading further ahead.
     pub fn may_read_ahead(&self) -> bool {
         let read_ahead = self.read_ahead.borrow();
         read_ahead.reservation.as_ref().is_some_and(|reservation| read_ahead.length < reservation.bytes())
     }
 
-    /// Reads the next bytes ahead and returns their number; never returns once all have arrived. The client is not held
-    /// to its pace meanwhile.
+    /// Reads the next chunk ahead and returns its length in bytes. Never completes once the whole body has been
+    /// received. The client's minimum sending rate is not enforced meanwhile.
     ///
     /// # Errors
     ///
-    /// [`IncompleteBody`] if the body broke off, now or before.
+    /// [`IncompleteBody`] if the body ended early, now or in an earlier call.
     pub async fn read_ahead(&self) -> Result<usize, IncompleteBody> {
-        if self.broken.get() {
-            return Err(IncompleteBody::new("its client ended it"));
+        if self.failed.get() {
+            return Err(IncompleteBody::new("reading the upload has already failed"));
         }
         let next = poll_fn(|cx| {
             let polled = self.poll_source(cx);
@@ -272,10 +276,10 @@
         }
     }
 
-    /// Reads ahead while the request waits, as far as there is spare memory. Returns only if the body breaks off.
+    /// Reads ahead while the request waits, as far as spare memory permits. Returns only if the body ends early.
     pub async fn read_while_waiting(&self) -> IncompleteBody {
         loop {
-            if !self.may_read_ahead() && !self.take_spare_memory() {
+            if !self.may_read_ahead() && !self.reserve_spare_memory() {
                 std::future::pending::<()>().await;
             }
             if let Err(error) = self.read_ahead().await {
@@ -284,31 +288,31 @@
         }
     }
 
-    fn take_spare_memory(&self) -> bool {
+    fn reserve_spare_memory(&self) -> bool {
         let remaining = self.remaining().and_then(|remaining| usize::try_from(remaining).ok());
         let bytes = remaining.unwrap_or(READ_AHEAD_STEP_BYTES).min(READ_AHEAD_STEP_BYTES);
         let reservation = self.memory.try_reserve_spare(bytes);
         reservation.map(|reservation| self.add_memory(reservation)).is_some()
     }
 
-    /// Gives back memory that was taken to read ahead and not needed.
+    /// Releases memory that was reserved for reading ahead and not used.
     pub fn release_unused_memory(&self) {
         self.read_ahead.borrow_mut().release_unused();
     }
 
-    /// Notes that the client was connected at this moment.
+    /// Records that the client was connected at this time.
     pub fn confirm_client(&self, at: Instant) {
         self.client_confirmed_at.set(Some(at));
     }
 
-    /// Whether the client was known to be connected so short a time ago that an attempt may begin within `margin`.
+    /// Whether the client was known to be connected recently enough for an attempt to begin within `margin`.
     pub fn is_client_confirmed(&self, now: Instant, margin: Duration) -> bool {
         let is_recent = |at: Instant| now.duration_since(at) + margin <= UploadStream::CONFIRMATION_VALIDITY;
         self.client_confirmed_at.get().is_some_and(is_recent)
     }
 }
 
-/// Reads an upload's bytes, for the one attempt that sends them.
+/// Reader of an upload's bytes for the attempt that sends them.
 pub struct UploadReader {
     upload: Rc<UploadStream>,
 }
