--- a/src/node/tests/attempt.rs
+++ b/src/node/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts that are cancelled, or whose connection does not open in time.
+//! Attempts that are cancelled, or whose connection is not established in time.
 
 use super::*;
 use crate::core::{SendPermit, Transport, WriteProgress};
@@ -7,7 +7,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::time::timeout_at;
 
-/// A listener whose accept queue is full, so that no further connection to it opens.
+/// A listener whose accept queue is full, so that no further connection to it is established.
 struct FullListener {
     address: SocketAddr,
     _listener: TcpListener,
@@ -31,10 +31,10 @@
     }
 }
 
-/// An attempt is cancelled after a part or all of its request was written: the permit says how much, and the node sees
-/// the connection's end at once.
+/// Guards against an attempt that is cancelled after part or all of its request was written: the permit must hold how
+/// much, and the node must receive the connection's end.
 #[test]
-fn a_cancelled_attempt_closes_its_connection_and_says_what_was_written() {
+fn a_cancelled_attempt_closes_its_connection_and_records_what_was_written() {
     run(async {
         let cases = [(10usize, WriteProgress::Complete), (32 << 20, WriteProgress::Partial)];
         for (body_length, expected) in cases {
@@ -51,7 +51,7 @@
                 result = sending.as_mut() => panic!("{:?}", result.outcome),
                 node_side = async {
                     let (mut node_side, _) = listener.accept().await.expect("a connection");
-                    // Its first bytes have arrived, and all that the system buffers is on its way.
+                    // The first bytes have arrived; the pause lets the head fill the socket buffers.
                     node_side.read_exact(&mut [0; 4]).await.expect("bytes");
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     node_side
@@ -61,26 +61,29 @@
             assert_eq!(permit.written.get(), expected);
             let mut rest = Vec::new();
             let end = tokio::time::timeout(Duration::from_secs(5), node_side.read_to_end(&mut rest));
-            _ = end.await.expect("its end");
+            _ = end.await.expect("the node side receives the connection's end");
         }
     });
 }
 
 #[test]
-fn of_an_attempt_cancelled_while_connecting_nothing_was_written() {
+fn an_attempt_cancelled_while_connecting_records_that_nothing_was_written() {
     run(async {
         let full = FullListener::start().await;
         let (transport, _) = transport_to(full.address);
         let permit = Rc::new(SendPermit::expiring_at(far_future()));
         let request = read_request("1");
         let sending = transport.send(NODE, &request, &permit);
-        assert!(timeout_at(Instant::now() + REUSE_DELAY, sending).await.is_err(), "it is not open");
+        assert!(
+            timeout_at(Instant::now() + REUSE_DELAY, sending).await.is_err(),
+            "the connection was established"
+        );
         assert_eq!(permit.written.get(), WriteProgress::Nothing);
     });
 }
 
-/// A connection that has not opened when the retry window ends, or at the head's shutdown deadline, is waited for no
-/// longer, and the node is not blamed for it.
+/// Guards against connecting beyond the end of the retry window or the shutdown deadline; neither may count as a failed
+/// connection of the node.
 #[test]
 fn connecting_ends_with_the_retry_window_and_the_shutdown_deadline() {
     run(async {
@@ -102,7 +105,7 @@
         }
         let permit = Rc::new(SendPermit::expiring_at(Instant::now() + REUSE_DELAY));
         let result = transport.send(NODE, &read_request("1"), &permit).await;
-        assert_eq!(result.outcome, AttemptOutcome::ConnectFailed, "its deadline passed while it connected");
+        assert_eq!(result.outcome, AttemptOutcome::ConnectFailed, "the deadline passed while connecting");
         assert_eq!(counters.held_back_window.get(), 1);
         assert_eq!(counters.held_back_end.get(), 1);
         assert_eq!(counters.held_back_deadline.get(), 1);
--- a/src/node/tests/connection_reuse.rs
+++ b/src/node/tests/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Reuse of connections: bytes that follow a response are never taken for the response to a later request.
+//! Connection reuse: bytes that follow a response are never treated as the response to a later request.
 
 use super::*;
 use crate::core::{SendPermit, Transport};
@@ -16,7 +16,7 @@
     (listener, address)
 }
 
-/// Reads from a connection and has `respond` called for each piece, until the connection ends.
+/// Reads from a connection until it ends, and calls `respond` after each read.
 fn serve(mut stream: std::net::TcpStream, mut respond: impl FnMut(&mut std::net::TcpStream)) {
     let mut buffer = [0; 1024];
     while stream.read(&mut buffer).is_ok_and(|count| count > 0) {
@@ -24,10 +24,11 @@
     }
 }
 
-/// A connection is idle, and something arrives on it at the moment of its reuse, after the pool's last check: a second
-/// response, the beginning of one, its end. Nothing is written to it; the same attempt goes over another.
+/// Guards against bytes or a close that arrive on an idle connection at the moment of its reuse, after the pool's
+/// check: a second response, part of one, or a FIN. Nothing may be written to that connection; the same attempt uses
+/// another.
 #[test]
-fn bytes_that_arrive_at_the_moment_of_reuse_are_no_response() {
+fn bytes_that_arrive_at_the_moment_of_reuse_are_not_used_as_a_response() {
     for unexpected in [WRONG_RESPONSE, &WRONG_RESPONSE[..9], b""] {
         let (listener, address) = listen_blocking();
         let (accepted_sender, accepted) = mpsc::channel();
@@ -57,7 +58,7 @@
             let client = ScriptedClient::new(move || {
                 times_asked += 1;
                 if times_asked == 1 && unexpected.is_empty() {
-                    node_side.shutdown(std::net::Shutdown::Write).expect("an end");
+                    node_side.shutdown(std::net::Shutdown::Write).expect("shutdown");
                 } else if times_asked == 1 {
                     node_side.write_all(unexpected).expect("written");
                 }
@@ -73,13 +74,18 @@
             assert_eq!(counters.held_back_connection.get(), 1);
             assert_eq!(counters.node_connections.get(), 2);
         });
-        assert_eq!(*requests_on.lock().expect("served"), [0, 1], "{unexpected:?}: one request on each");
+        assert_eq!(
+            *requests_on.lock().expect("served"),
+            [0, 1],
+            "{unexpected:?}: one request on each connection"
+        );
     }
 }
 
-/// A second response follows 5 ms after the first: neither a request at once nor a later one takes it for its own.
+/// Guards against a second response that arrives 5 ms after the first: neither an immediate nor a later request may
+/// receive it as its own.
 #[test]
-fn a_late_second_response_is_no_requests_response() {
+fn a_late_second_response_is_not_used_for_any_request() {
     let (listener, address) = listen_blocking();
     std::thread::spawn(move || {
         for (connection, stream) in listener.incoming().flatten().enumerate() {
@@ -103,6 +109,6 @@
             assert_eq!(result.body.buffered, b"right"[..], "request {id}");
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
         }
-        assert_eq!(counters.node_connections.get(), 2, "the first carries no further request");
+        assert_eq!(counters.node_connections.get(), 2, "the first connection carries no further request");
     });
 }
--- a/src/node/tests/mod.rs
+++ b/src/node/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the node transport that need its private parts.
+//! Unit tests of the node transport's private modules.
 
 mod attempt;
 mod connection_reuse;
@@ -27,7 +27,7 @@
 
 const NODE: NodeId = NodeId(1);
 
-/// A client whose connection state is asked of a closure, which may act at that very moment.
+/// A client whose connection state is returned by a closure, which can trigger an event at the moment of the check.
 struct ScriptedClient<F> {
     is_connected: RefCell<F>,
 }
@@ -60,12 +60,12 @@
     runtime.block_on(test);
 }
 
-/// Long enough that no test reaches it.
+/// An instant that no test reaches.
 fn far_future() -> Instant {
     Instant::now() + Duration::from_secs(60)
 }
 
-/// A transport that knows no node, and its counters.
+/// A transport with an empty address table, and its counters.
 fn empty_transport() -> (Rc<NodeTransport>, Rc<Counters>) {
     let counters = Rc::new(Counters::default());
     let settings = NodeTransportSettings { connect_timeout_s: 5.0, node_idle_timeout_s: 15.0, heads: 1 };
@@ -74,7 +74,7 @@
     (transport, counters)
 }
 
-/// A transport that knows `NODE` at an address, ready, and its counters.
+/// A transport that has `NODE` as ready at an address, and its counters.
 fn transport_to(address: SocketAddr) -> (Rc<NodeTransport>, Rc<Counters>) {
     let (transport, counters) = empty_transport();
     transport.set_address(NODE, node_address(address, NodeState::Ready));
@@ -110,7 +110,7 @@
     (head_side, node_side)
 }
 
-/// A socket that carries a new exchange with an empty body, under a guard.
+/// A socket with a new exchange of a request with an empty body, checked by `guard`.
 fn guarded_stream(stream: TcpStream, guard: SendGuard, counters: &Rc<Counters>) -> InstrumentedStream {
     let progress = ExchangeProgress::new(counters.clone());
     progress.start(true, guard);
--- a/src/node/tests/send_guard.rs
+++ b/src/node/tests/send_guard.rs
@@ -1,4 +1,4 @@
-//! The send guard: no first byte goes to a node that takes no more work, nor for a permit that has expired.
+//! The send guard: no first byte is written to a node that accepts no more requests, nor with an expired permit.
 
 use super::*;
 use crate::core::{SendPermit, ShutdownDeadline, WriteProgress};
@@ -24,7 +24,7 @@
     }
 }
 
-/// Applies a random update of the node; whether it is ready at `address` after it.
+/// Applies a random update to the node, and returns whether the node is ready at `address` afterwards.
 fn random_update(transport: &NodeTransport, address: SocketAddr, random: &mut Random) -> bool {
     let other_address = SocketAddr::from(([127, 0, 0, 2], address.port()));
     match random.below(5) {
@@ -39,10 +39,11 @@
     false
 }
 
-/// Orders of updates and of an attempt's steps are drawn from seeds; at each step the guard's decision is compared with
-/// the last update. A request that has begun goes on.
+/// Guards against a first byte written to a node that drained, was removed or moved while the attempt connected.
+/// Sequences of updates are generated from seeds; at each stage of the attempt, the guard's decision is compared with
+/// the last update. A request that has begun continues.
 #[test]
-fn no_first_byte_goes_to_a_node_that_drained_left_or_moved() {
+fn no_first_byte_is_written_to_a_node_that_drained_was_removed_or_moved() {
     run(async {
         let (listener, address) = listen().await;
         let (transport, counters) = empty_transport();
@@ -61,7 +62,7 @@
             is_ready = random_update(&transport, address, &mut random);
             let (stream, mut node_side) = connect(&listener).await;
             assert_eq!(guard.check(Stage::Connected, None).is_ok(), is_ready, "seed {seed}");
-            // Whatever the second check said, the one at the first byte decides.
+            // Whatever the check at `Connected` returned, the one at the first byte decides.
             is_ready = random_update(&transport, address, &mut random);
             let mut stream = guarded_stream(stream, guard, &counters);
             let held_back_before = counters.held_back.get();
@@ -71,7 +72,7 @@
             assert_eq!(stream.write_all(b" /").await.is_ok(), is_ready, "seed {seed}");
             drop(stream);
             let mut received = Vec::new();
-            node_side.read_to_end(&mut received).await.expect("its end");
+            node_side.read_to_end(&mut received).await.expect("the node side receives the connection's end");
             assert_eq!(received, if is_ready { b"GET /".as_slice() } else { b"" }, "seed {seed}");
             written += u32::from(is_ready);
             refused += u32::from(!is_ready);
@@ -80,7 +81,7 @@
     });
 }
 
-/// What changes about a permit before the first byte.
+/// The change that expires a permit before the first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Change {
     Nothing,
@@ -99,7 +100,7 @@
         Change::ClientDisconnects,
     ];
 
-    /// The counter of requests that were not sent because of it.
+    /// Value of the counter of requests that were not sent because of this change.
     fn count(self, counters: &Counters) -> u64 {
         match self {
             Change::Nothing => 0,
@@ -111,10 +112,10 @@
     }
 }
 
-/// A connection is open, and before its first byte one thing about the permit changes, before or after the guard was
-/// asked: no byte is written, and the reason is counted. With nothing changed the request goes.
+/// Guards against a first byte written with an expired permit. One condition of the permit changes before or after the
+/// guard's check at `Connected`: no byte is written, and the reason is counted. Without a change, the request is sent.
 #[test]
-fn no_first_byte_goes_under_an_expired_permit() {
+fn no_first_byte_is_written_with_an_expired_permit() {
     run(async {
         let (listener, address) = listen().await;
         let (transport, counters) = transport_to(address);
@@ -146,7 +147,11 @@
             }
             let count_before = change.count(&counters);
             let guard = transport.send_guard(NODE, Bytes::new(), &permit);
-            assert_eq!(guard.check(Stage::Connected, None), Ok(()), "the permit is asked at the first byte");
+            assert_eq!(
+                guard.check(Stage::Connected, None),
+                Ok(()),
+                "the permit is checked only at the first byte"
+            );
             let (stream, mut node_side) = connect(&listener).await;
             let mut stream = guarded_stream(stream, guard, &counters);
             apply_change();
@@ -154,7 +159,7 @@
             let _ = stream.flush().await;
             drop(stream);
             let mut received = Vec::new();
-            node_side.read_to_end(&mut received).await.expect("its end");
+            node_side.read_to_end(&mut received).await.expect("the node side receives the connection's end");
             let is_sent = change == Change::Nothing;
             assert_eq!(has_begun, is_sent, "round {round}, {change:?}");
             assert_eq!(received.len(), if is_sent { 5 } else { 0 }, "round {round}, {change:?}");
