--- a/src/node/addresses.rs
+++ b/src/node/addresses.rs
@@ -1,4 +1,4 @@
-//! The nodes' addresses and whether they take work: one compact record for each listed node, found by the node's id.
+//! Table of the nodes' addresses and states: a compact record for each listed node, indexed by the node's id.
 
 use crate::scheduler::{NodeId, NodeState};
 use flaxgap_membership::address::CompactAddress;
@@ -10,28 +10,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The records grow by their number divided by this: doubling would leave half of the memory unused.
+/// The table's capacity grows by its length divided by this number: doubling would leave up to half of the memory
+/// unused.
 const GROWTH_DIVISOR: usize = 8;
-/// The least number of records by which they grow.
+/// Minimum number of records by which the capacity grows.
 const MIN_GROWTH: usize = 16;
-/// Resolution of the times in records. Their count wraps after 497 days: they are logged and nothing else.
+/// Resolution of the timestamps in records. The tick count wraps after 497 days; it is used only in log lines.
 const TICK: Duration = Duration::from_millis(10);
 
-/// A node's address and whether it takes work, by the latest update from discovery.
+/// A node's address and state, as of the latest update from discovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeAddress {
-    /// The node's name, the same at all heads.
+    /// The node's name, identical at all heads.
     pub name: Rc<str>,
-    /// The address of its HTTP server.
+    /// Address of the node's HTTP server.
     pub address: SocketAddr,
-    /// Whether it takes work.
+    /// The node's state; only a ready node accepts requests.
     pub state: NodeState,
 }
 
 /// A node's address and state, and for how long they have been unchanged.
 pub(super) struct AddressStatus {
     pub(super) address: NodeAddress,
-    /// Time since the node's name, address or state last changed, however often discovery has confirmed them.
+    /// Time since the node's name, address or state last changed. Updates from discovery that repeat them don't count.
     pub(super) unchanged_for: Duration,
 }
 
@@ -40,7 +41,7 @@
     node: NodeId,
     name: Rc<str>,
     address: CompactAddress,
-    /// When the node got this address and state, in ticks since the table's creation.
+    /// When the node's name, address or state last changed, in ticks since the table's creation.
     changed_at: u32,
     state: NodeState,
 }
@@ -58,11 +59,11 @@
     }
 }
 
-/// The version of the endpoint list that the addresses are from.
+/// Version of the endpoint list from which the addresses were taken.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListStamp {
     pub(super) version: u64,
-    /// When it took effect here.
+    /// When the version was applied to the table.
     pub(super) applied_at: Instant,
 }
 
@@ -71,7 +72,7 @@
 pub(super) struct AddressTable {
     list: ListStamp,
     records: Slab<AddressRecord>,
-    /// Indices into `records`, by the hash of the node's id.
+    /// Indices into `records`, hashed by the node's id.
     index: HashTable<u32>,
     hasher: RandomState,
     created_at: Instant,
@@ -118,7 +119,7 @@
         self.record(node)?.address.get()
     }
 
-    /// A node's address, if it takes work.
+    /// A node's address, if the node accepts requests.
     pub(super) fn ready_address(&self, node: NodeId) -> Option<SocketAddr> {
         let record = self.record(node)?;
         if record.state == NodeState::Ready { record.address.get() } else { None }
@@ -148,14 +149,14 @@
         self.index.insert_unique(hash, index, rehash);
     }
 
-    /// Notes that a list has been applied.
+    /// Records the version of the endpoint list that has been applied.
     pub(super) fn set_list_version(&mut self, version: u64) {
         if self.list.version != version {
             self.list = ListStamp { version, applied_at: Instant::now() };
         }
     }
 
-    /// The list that the addresses are from.
+    /// Version of the endpoint list that was applied last.
     pub(super) fn list(&self) -> ListStamp {
         self.list
     }
--- a/src/node/attempt.rs
+++ b/src/node/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to a node once, and its outcome.
+//! A single attempt: sending a request to a node once, and classifying the outcome.
 
 use super::client_check;
 use super::connection::NodeConnection;
@@ -15,14 +15,14 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Where an attempt's connection comes from.
+/// Whether an attempt's connection was taken from the pool or opened for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionOrigin {
     Pool,
     New,
 }
 
-/// Sends a request to a node, over a pooled connection if there is one. The request is written at most once.
+/// Sends a request to a node, over a pooled connection if one is available. The request is written at most once.
 pub(super) async fn run(
     transport: &NodeTransport,
     node: NodeId,
@@ -36,7 +36,7 @@
     Attempt { transport, request, guard, address }.run().await
 }
 
-/// An attempt whose node takes work.
+/// An attempt at a node that accepted requests when it was chosen.
 struct Attempt<'a> {
     transport: &'a NodeTransport,
     request: &'a NodeRequest,
@@ -45,10 +45,10 @@
 }
 
 impl Attempt<'_> {
-    /// Tries connections until one carries the exchange.
+    /// Tries connections until one of them carries the exchange.
     async fn run(&self) -> AttemptResult {
         loop {
-            // A client that turns out to have disconnected costs the node no connection.
+            // Checked first, so that no connection is opened for a client that has disconnected.
             if self.confirm_client().await.is_err() {
                 return AttemptResult::empty(AttemptOutcome::NotSent);
             }
@@ -66,9 +66,9 @@
                 Err(reason) => reason,
             };
             match (not_sent, origin) {
-                // Nothing was written, so this is still the same attempt.
+                // No byte was written, so another connection can carry the same attempt.
                 (NotSentReason::ConnectionUnusable, ConnectionOrigin::Pool) => {}
-                // A node that speaks first on a new connection can't be used.
+                // The node has sent data on a new connection before any request, or has closed it.
                 (NotSentReason::ConnectionUnusable, ConnectionOrigin::New) => {
                     return AttemptResult::empty(AttemptOutcome::ConnectFailed);
                 }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Makes sure that the client of a streamed body is connected.
+    /// Checks that the client of a streamed body is still connected.
     async fn confirm_client(&self) -> Result<(), PermitExpired> {
         let memory_timeout = self.transport.connect_timeout;
         let confirmed = client_check::confirm_client(&self.guard.permit, memory_timeout).await;
@@ -89,7 +89,7 @@
         confirmed
     }
 
-    /// Takes a connection from the pool or opens one.
+    /// Takes a connection from the pool or opens a new one.
     async fn acquire_connection(&self) -> Result<(NodeConnection, ConnectionOrigin), AttemptOutcome> {
         if let Some(connection) = self.transport.pool.take(self.guard.node).await {
             return Ok((connection, ConnectionOrigin::Pool));
@@ -102,10 +102,10 @@
 
     async fn open_connection(&self) -> Option<NodeConnection> {
         let slot = self.transport.descriptors.slot(Side::Node)?;
-        let connect_by = Instant::now() + self.transport.connect_timeout;
-        let open_by = connect_by.min(self.guard.permit.latest_start());
+        let connect_deadline = Instant::now() + self.transport.connect_timeout;
+        let open_deadline = connect_deadline.min(self.guard.permit.latest_start());
         self.transport.counters.node_connections.add();
-        match NodeConnection::open(self.address, slot, open_by, &self.transport.counters).await {
+        match NodeConnection::open(self.address, slot, open_deadline, &self.transport.counters).await {
             Ok(connection) => Some(connection),
             Err(error) => {
                 log::debug!("node: connect failed, address={}: {error}", self.address);
@@ -114,7 +114,8 @@
         }
     }
 
-    /// The outcome of an attempt that got no connection. That it could wait no longer is not the node's fault.
+    /// The outcome of an attempt that got no connection. It is not counted as a failure of the node if the retry window
+    /// ended, the shutdown deadline passed or the client disconnected meanwhile.
     fn classify_connect_failure(&self) -> AttemptOutcome {
         match self.guard.check_permit(Stage::Chosen) {
             Err(NotSentReason::PermitExpired(
@@ -124,8 +125,11 @@
         }
     }
 
-    /// Sends the request over a connection and receives the response. An error says that no byte of the request was
-    /// written, and why.
+    /// Sends the request over a connection and receives the response.
+    ///
+    /// # Errors
+    ///
+    /// The reason for which no byte of the request was written.
     async fn exchange(&self, mut connection: NodeConnection) -> Result<AttemptResult, NotSentReason> {
         // Opening the connection may have taken long.
         self.guard.check(Stage::Connected, None)?;
@@ -155,7 +159,7 @@
         matches!(&self.request.payload, Payload::Buffered(bytes) if bytes.is_empty())
     }
 
-    /// By when the attempt must end.
+    /// The attempt's current deadline, which moves while a streamed body is forwarded.
     fn deadline(&self) -> Instant {
         match self.request.payload.upload() {
             Some(upload) => upload.attempt_deadline(),
@@ -163,24 +167,23 @@
         }
     }
 
-    /// The outcome of an exchange that failed with an error, or that ran out of time (`None`).
+    /// The outcome of an exchange that failed with an error, or that timed out (`None`).
     fn classify_failure(&self, error: Option<&ResponseError>, progress: &ExchangeProgress) -> AttemptOutcome {
-        // The node never had the complete request, so it can't have begun.
+        // The node did not receive the complete request, so it can't have started to execute it.
         if !progress.is_request_complete() {
             return AttemptOutcome::ConnectFailed;
         }
         match error {
             None if !progress.has_response_begun() => AttemptOutcome::Timeout,
-            // The node closed or reset the connection, before its response or midway in it.
+            // The node closed or reset the connection before or during its response.
             Some(error) if progress.is_closed_by_node() => {
                 log::debug!("node: connection closed by node, address={}: {error}", self.address);
                 AttemptOutcome::Reset
             }
-            // The connection is still open: the response is malformed or too long, or it began but was not complete
-            // in time.
+            // The connection is still open: the response is malformed or too long, or it was not complete in time.
             _ => {
                 self.transport.counters.spoilt.add();
-                log::debug!("node: malformed response, address={}", self.address);
+                log::debug!("node: malformed, oversized or incomplete response, address={}", self.address);
                 AttemptOutcome::Error
             }
         }
--- a/src/node/client_check.rs
+++ b/src/node/client_check.rs
@@ -1,39 +1,44 @@
-//! Makes sure that the client of an upload is connected right before its attempt begins.
+//! Checks that the client of an upload is still connected immediately before its attempt begins.
 //!
-//! A client's end arrives behind what it sent before. While its upload waits for an attempt, nothing is read of it; once
-//! the receive buffer is full, the client's system holds the rest, and the end behind that. So what
-//! is there is read ahead into memory until one of these holds:
+//! A client's FIN follows the bytes that it has sent. While an upload waits for an attempt, little of it is read; once
+//! the receive buffer is full, the client's kernel holds back the remaining bytes and the FIN behind them. The upload
+//! is therefore read ahead into memory until one of these conditions holds:
 //!
-//! - Nothing has arrived for [`QUIET_TIME`]: the receive buffer was open, so an end would have arrived, too.
-//! - The receive buffer was open for [`OPEN_TIME`], and right now nothing is unread: the client sends at its own pace.
-//! - More has arrived at once than two systems hold for a connection: the client wrote some of it during the check.
+//! - Nothing has arrived for [`QUIET_TIME`]: the receive buffer had room, so a FIN would have arrived.
+//! - The receive buffer has had room for [`OPEN_TIME`], and nothing is unread now: the client's kernel holds nothing
+//!   back.
+//! - More has arrived within [`OPEN_TIME`] than the socket buffers of both hosts hold: the client wrote some of it
+//!   during the check.
 //!
-//! What is on its way through the network for longer than [`OPEN_TIME`] is not told from what a client still sends.
+//! Bytes that spend longer than [`OPEN_TIME`] in the network can't be distinguished from bytes that a client still
+//! sends.
 
 use crate::core::upload::UploadStream;
 use crate::core::{Client, PermitExpired, SendPermit};
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long nothing must arrive: several round trips within a data centre.
+/// How long nothing must arrive: several round-trip times within a data centre.
 const QUIET_TIME: Duration = Duration::from_millis(2);
-/// How long the receive buffer must be open if a client sends without such a pause. At 1 Gbit/s, a client's system sends
-/// what it holds within it.
+/// How long the receive buffer must have room if a client sends without a pause of [`QUIET_TIME`]. At 1 Gbit/s, a
+/// client's kernel sends its whole send buffer in this time.
 const OPEN_TIME: Duration = Duration::from_millis(50);
-/// What two systems hold for a connection at most: 4 MiB at the client's, the maximum of `tcp_wmem` that Linux sets unless
-/// told otherwise, and 2 MiB here: a receive buffer grows only as it is read, and little of the upload has been.
+/// Maximum capacity of both hosts' socket buffers for a connection: 4 MiB at the client, Linux's default maximum of
+/// `tcp_wmem`, and 2 MiB at the head, whose receive buffer grows only as it is read, and little of the upload has been
+/// read.
 const SOCKET_BUFFERS_BYTES: usize = 6 << 20;
-/// How much of an upload may have been read just now without opening a receive buffer that was full.
-const READ_BEFORE_BYTES: u64 = 16 << 10;
-/// What is left of the confirmation's validity for the attempt to begin, without another check.
+/// Largest amount of an upload that may just have been read without making room in a full receive buffer.
+const MAX_INITIAL_READ_BYTES: u64 = 16 << 10;
+/// How much of the confirmation's validity must be left for the attempt to begin without another check.
 const BEGIN_MARGIN: Duration = Duration::from_millis(20);
 
-/// Checks the client of an upload that waits for this permit's attempt; nothing to do for any other request, or if it
-/// was checked just before. Waits for memory for up to `memory_timeout`.
+/// Checks that the client of the permit's upload is still connected. Does nothing if the permit has no upload or the
+/// client was confirmed recently. Waits for memory for up to `memory_timeout`.
 ///
 /// # Errors
 ///
-/// The client has disconnected, or it can't be made certain in time that it has not.
+/// [`PermitExpired::ClientDisconnected`] if the client has disconnected, [`PermitExpired::ClientUnconfirmed`] if it is
+/// not confirmed in time.
 pub(super) async fn confirm_client(
     permit: &SendPermit,
     memory_timeout: Duration,
@@ -41,18 +46,18 @@
     let Some((client, upload)) = permit.unconfirmed_upload(Instant::now(), BEGIN_MARGIN) else {
         return Ok(());
     };
-    let check = ClientCheck { client, upload, began_at: Instant::now(), check_by: permit.latest_start() };
+    let check = ClientCheck { client, upload, started_at: Instant::now(), deadline: permit.latest_start() };
     let confirmed = check.run(memory_timeout).await;
     upload.release_unused_memory();
     confirmed
 }
 
-/// The check of one upload's client.
+/// Check of an upload's client.
 struct ClientCheck<'a> {
     client: &'a dyn Client,
     upload: &'a UploadStream,
-    began_at: Instant,
-    check_by: Instant,
+    started_at: Instant,
+    deadline: Instant,
 }
 
 impl ClientCheck<'_> {
@@ -61,32 +66,35 @@
             self.upload.confirm_client(Instant::now() - QUIET_TIME);
             return Ok(());
         }
-        let memory_by = self.check_by.min(self.began_at + memory_timeout);
-        let reserving = self.upload.reserve_memory(self.wanted_bytes());
-        if timeout_at(memory_by, reserving).await.is_err() {
-            log::debug!("node: no memory to check an upload's client, waited={:?}", self.began_at.elapsed());
+        let memory_deadline = self.deadline.min(self.started_at + memory_timeout);
+        let reserving = self.upload.reserve_memory(self.bytes_to_reserve());
+        if timeout_at(memory_deadline, reserving).await.is_err() {
+            log::debug!(
+                "node: no memory to check an upload's client, waited={:?}",
+                self.started_at.elapsed()
+            );
             return Err(PermitExpired::ClientUnconfirmed);
         }
-        self.read_until_certain().await
+        self.read_until_known().await
     }
 
-    /// Whether the receive buffer is empty and has had room for at least [`QUIET_TIME`], so that the client's end would
+    /// Whether the receive buffer is empty and has had room for at least [`QUIET_TIME`], so that the client's FIN would
     /// have arrived.
     fn is_buffer_open(&self) -> bool {
         let upload = self.upload;
-        let was_opened_now =
-            upload.received() > READ_BEFORE_BYTES && upload.last_received().elapsed() < QUIET_TIME;
-        !was_opened_now && self.client.has_nothing_unread()
+        let was_just_opened =
+            upload.received() > MAX_INITIAL_READ_BYTES && upload.last_received().elapsed() < QUIET_TIME;
+        !was_just_opened && self.client.has_nothing_unread()
     }
 
-    /// How much may be read ahead before it is certain.
-    fn wanted_bytes(&self) -> usize {
+    /// Number of bytes to reserve for reading ahead.
+    fn bytes_to_reserve(&self) -> usize {
         let remaining = self.upload.remaining().and_then(|remaining| usize::try_from(remaining).ok());
         remaining.unwrap_or(SOCKET_BUFFERS_BYTES).min(SOCKET_BUFFERS_BYTES)
     }
 
-    /// Reads ahead until it is certain that the client is connected, or that it is not.
-    async fn read_until_certain(&self) -> Result<(), PermitExpired> {
+    /// Reads ahead until the client is known to be connected or disconnected, or until the check's deadline.
+    async fn read_until_known(&self) -> Result<(), PermitExpired> {
         let reading_since = Instant::now();
         let mut read_bytes = 0;
         loop {
@@ -109,7 +117,7 @@
             if read_bytes >= SOCKET_BUFFERS_BYTES && reading_since.elapsed() <= OPEN_TIME {
                 return self.confirmed(reading_since, reading_since);
             }
-            if Instant::now() >= self.check_by {
+            if Instant::now() >= self.deadline {
                 return Err(PermitExpired::ClientUnconfirmed);
             }
             self.extend_memory()?;
@@ -126,13 +134,13 @@
         Ok(())
     }
 
-    /// Gets more memory if that which was reserved is used up, without a wait: two uploads that each held some and waited
-    /// for more would wait for each other.
+    /// Reserves more memory if the reserved memory is used up. Does not wait for it: two uploads that each hold memory
+    /// and wait for more could deadlock.
     fn extend_memory(&self) -> Result<(), PermitExpired> {
         if self.upload.may_read_ahead() || self.upload.remaining() == Some(0) {
             return Ok(());
         }
-        if self.upload.try_reserve_memory(self.wanted_bytes()) {
+        if self.upload.try_reserve_memory(self.bytes_to_reserve()) {
             return Ok(());
         }
         log::debug!("node: no more memory to check an upload's client");
--- a/src/node/connection.rs
+++ b/src/node/connection.rs
@@ -1,7 +1,7 @@
-//! One HTTP/1.1 connection to a node. It is no task of its own: whoever uses it drives it, so dropping it closes its
-//! socket at once.
+//! An HTTP/1.1 connection to a node. It has no task of its own: its user polls it, so dropping it closes the socket
+//! immediately.
 
-use super::limits::MAX_HEAD_BYTES;
+use super::limits::MAX_RESPONSE_HEAD_BYTES;
 use super::progress::ExchangeProgress;
 use super::request::RequestBody;
 use super::stream::InstrumentedStream;
@@ -22,13 +22,13 @@
 /// Why a connection to a node could not be opened.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
-    /// The system reported an error.
+    /// An operating system error.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It did not open in time.
-    #[error("no connection in time")]
+    /// The connection was not established by the deadline.
+    #[error("connection not established by the deadline")]
     TimedOut,
-    /// The HTTP library reported an error.
+    /// An error of the HTTP library.
     #[error(transparent)]
     Http(#[from] hyper::Error),
 }
@@ -38,23 +38,27 @@
     pub(super) sender: SendRequest<RequestBody>,
     http: Connection<TokioIo<InstrumentedStream>, RequestBody>,
     pub(super) progress: Rc<ExchangeProgress>,
-    /// Its part of the descriptor budget.
+    /// The connection's slot in the descriptor budget.
     pub(super) slot: ConnectionSlot,
-    /// Since when it has been idle in the pool.
+    /// When the connection was opened or last returned to the pool.
     pub(super) idle_since: Instant,
-    /// The HTTP library is done with it.
+    /// Whether the HTTP connection has ended, so that it must not be polled again.
     ended: bool,
 }
 
 impl NodeConnection {
-    /// Opens a connection, by `open_by` at the latest.
+    /// Opens a connection.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if connecting fails or is not complete at `deadline`.
     pub(super) async fn open(
         address: SocketAddr,
         slot: ConnectionSlot,
-        open_by: Instant,
+        deadline: Instant,
         counters: &Rc<Counters>,
     ) -> Result<NodeConnection, ConnectError> {
-        let connecting = timeout_at(open_by, TcpStream::connect(address)).await;
+        let connecting = timeout_at(deadline, TcpStream::connect(address)).await;
         let stream = connecting.map_err(|_| ConnectError::TimedOut)??;
         if let Err(error) = stream.set_nodelay(true) {
             log::debug!("node: TCP_NODELAY not set, address={address}: {error}");
@@ -62,13 +66,13 @@
         let progress = ExchangeProgress::new(counters.clone());
         let io = TokioIo::new(InstrumentedStream { stream, progress: progress.clone() });
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MAX_HEAD_BYTES);
+        builder.max_buf_size(MAX_RESPONSE_HEAD_BYTES);
         let (sender, http) = builder.handshake(io).await?;
         Ok(NodeConnection { sender, http, progress, slot, idle_since: Instant::now(), ended: false })
     }
 
-    /// Drives the connection while `work` uses it; `None` once neither ends in time. The time is the earlier of
-    /// `deadline`, which is asked at each step, and what the response's pace allows.
+    /// Polls the connection while `work` uses it, and returns the output of `work`; `None` on a timeout. The time limit
+    /// is the earlier of `deadline`, which is evaluated at each poll, and the deadline for the response's next bytes.
     pub(super) async fn drive<O>(
         &mut self,
         work: impl Future<Output = O>,
@@ -78,7 +82,7 @@
         let mut work = pin!(work);
         let mut timer = pin!(sleep_until(due));
         poll_fn(|cx| {
-            // Twice: what the connection reads for `work` may let `work` ask for more.
+            // Polled twice: data that the connection reads for `work` may cause `work` to request more.
             for _ in 0..2 {
                 self.poll_http(cx);
                 if let Poll::Ready(output) = work.as_mut().poll(cx) {
@@ -95,14 +99,15 @@
         .await
     }
 
-    /// Lets the HTTP library read and write.
+    /// Polls the HTTP connection, which reads from and writes to the socket.
     pub(super) fn poll_http(&mut self, cx: &mut Context<'_>) {
         if !self.ended && Pin::new(&mut self.http).poll(cx).is_ready() {
             self.ended = true;
         }
     }
 
-    /// Whether it can carry another request right now, as far as the runtime knows.
+    /// Whether the connection can carry another request now, as far as the runtime has been notified of the socket's
+    /// state.
     pub(super) async fn is_usable(&mut self) -> bool {
         poll_fn(|cx| {
             self.poll_http(cx);
@@ -112,7 +117,7 @@
         .await
     }
 
-    /// Whether it can carry no further request.
+    /// Whether the connection can carry no further request.
     pub(super) fn is_closed(&self) -> bool {
         self.ended || self.sender.is_closed()
     }
--- a/src/node/guard.rs
+++ b/src/node/guard.rs
@@ -1,4 +1,4 @@
-//! The send guard: decides whether a request may begin at its node.
+//! The send guard: decides whether a request may be sent to its node.
 
 use super::addresses::{AddressTable, NodeAddress};
 use crate::core::{PermitExpired, SendPermit};
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How far an attempt has come when its guard is asked.
+/// Stage of an attempt at which its send guard is checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// The scheduler has chosen the node.
@@ -23,34 +23,38 @@
     FirstByte,
 }
 
-/// Why the first byte of a request is not written.
+/// Why a request is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NotSentReason {
-    /// The node takes no more work, or its address has changed.
+    /// The node accepts no more requests, or its address has changed.
     NodeUnavailable,
     /// The request's send permit has expired.
     PermitExpired(PermitExpired),
-    /// The connection holds unread bytes that belong to no request, or the node has closed it. Another connection can
-    /// carry the request.
+    /// The connection holds unread bytes that belong to no response, or the node has closed it. The request can be sent
+    /// over another connection.
     ConnectionUnusable,
 }
 
-/// What has to hold from an attempt's choice of a node to its first byte.
+/// The conditions that must hold from the choice of an attempt's node until its first byte is written.
 #[derive(Clone)]
 pub(super) struct SendGuard {
     pub(super) addresses: Rc<RefCell<AddressTable>>,
     pub(super) counters: Rc<Counters>,
     pub(super) node: NodeId,
-    /// The request's id, as the client wrote it.
+    /// The request's id, byte for byte as received from the client.
     pub(super) request_id: Bytes,
-    /// The node's address when it was chosen; `None` if the node was no longer listed.
+    /// The node's address when the node was chosen; `None` if it was no longer listed.
     pub(super) address: Option<SocketAddr>,
     pub(super) permit: Rc<SendPermit>,
 }
 
 impl SendGuard {
-    /// Decides whether the request may begin at its node, by what is known now: the only place that does. The node is
-    /// checked at each stage, the permit at the first byte, and the connection if there is one.
+    /// Decides whether the request may be sent to its node, by the current state; nothing else makes this decision. The
+    /// node is checked at each stage, the permit at the first byte, and the connection if there is one.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if the request may not be sent.
     pub(super) fn check(&self, stage: Stage, connection: Option<&TcpStream>) -> Result<(), NotSentReason> {
         self.check_node(stage)?;
         if stage == Stage::FirstByte {
@@ -62,7 +66,7 @@
         }
     }
 
-    /// Checks that the node still takes work at the address that it was chosen with.
+    /// Checks that the node still accepts requests at the address that it had when it was chosen.
     fn check_node(&self, stage: Stage) -> Result<(), NotSentReason> {
         let addresses = self.addresses.borrow();
         if self.address.is_some() && addresses.ready_address(self.node) == self.address {
@@ -80,7 +84,7 @@
         Err(NotSentReason::NodeUnavailable)
     }
 
-    /// Logs that the first byte goes out, and by which list that was decided.
+    /// Logs that the first byte is about to be written, and the version of the endpoint list that the check used.
     pub(super) fn log_first_byte(&self) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
@@ -114,18 +118,22 @@
         log::debug!("node: request not sent, node={} stage={stage:?} reason={expired:?}", self.node.0);
     }
 
-    /// Checks that nothing has arrived on the connection since it was last read.
+    /// Checks that the connection is open and has no unread bytes.
     fn check_connection(&self, stage: Stage, stream: &TcpStream) -> Result<(), NotSentReason> {
         if has_nothing_unread(stream) {
             return Ok(());
         }
         self.counters.held_back_connection.add();
-        log::debug!("node: unexpected bytes or close on a connection, node={} stage={stage:?}", self.node.0);
+        log::debug!(
+            "node: connection closed by node or unexpected bytes on it, node={} stage={stage:?}",
+            self.node.0
+        );
         Err(NotSentReason::ConnectionUnusable)
     }
 }
 
-/// Whether a socket is open with no bytes to read. Asks the system, since the runtime may not have been notified yet.
+/// Whether a socket is open and has no bytes to read. Peeks at the socket, since the runtime may not have been notified
+/// yet.
 fn has_nothing_unread(stream: &TcpStream) -> bool {
     let peeked = socket2::SockRef::from(stream).peek(&mut [std::mem::MaybeUninit::uninit()]);
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -3,34 +3,36 @@
 use crate::resources::memory;
 use std::time::Duration;
 
-/// Fraction of the nodes' idle timeout after which a pooled connection is closed: one that its node is about to close
-/// would turn the next request into a reset.
+/// Fraction of the nodes' idle timeout after which a pooled connection is closed: a request sent as the node closes the
+/// connection would be reset.
 pub(super) const POOL_IDLE_FRACTION: f64 = 0.5;
-/// Longest time that a connection stays in the pool of a small fleet's head, in seconds: nodes were seen to close
-/// connections after 1.8 s although the settings said 15 s. In a larger fleet each head contacts a node seldom, and a
-/// new connection for each request would cost the nodes more than an occasional reset: there only the fraction applies.
+/// Maximum time that a head of a small fleet keeps an idle connection in its pool, in seconds: nodes have closed
+/// connections after 1.8 s although 15 s were configured. Heads of larger fleets contact each node seldom, and opening
+/// a connection for each request would cost the nodes more than an occasional reset, so only [`POOL_IDLE_FRACTION`]
+/// applies to them.
 pub(super) const SMALL_FLEET_MAX_POOL_IDLE_S: f64 = 1.5;
-/// How long a connection stays unused after a response, so that bytes that follow the response and belong to no request
-/// are seen before the next request is written.
+/// Minimum idle time of a connection before its reuse, so that unsolicited bytes that follow a response are detected
+/// before the next request is written.
 pub(super) const REUSE_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest response head, in bytes.
-pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most bytes of a complete response, interim responses before it included.
+/// Maximum length of a response head, in bytes.
+pub(super) const MAX_RESPONSE_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum length of a complete response, including interim responses, in bytes.
 pub(super) const MAX_RESPONSE_BYTES: usize = memory::MAX_BODY_BYTES as usize + (1 << 20);
 
-/// Longest response that is buffered completely before any of it is forwarded, in bytes, so that a break in it is an
-/// outcome that a retry can make up for.
+/// Maximum length of a response that is buffered completely before it is forwarded, in bytes, so that the request can
+/// be retried if the response ends early.
 pub(super) const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// How much of a longer response is buffered before it is forwarded, in bytes.
+/// Number of bytes of a longer response that are buffered before it is forwarded.
 pub(super) const STREAM_START_BYTES: usize = 8 * 1024;
-/// How long a response of unknown length is buffered at least, unless it fills the buffer.
+/// Minimum time for which a response of unknown length is buffered, unless it fills the buffer earlier.
 pub(super) const UNKNOWN_LENGTH_BUFFER_TIME: Duration = Duration::from_millis(30);
 
-/// Longest pause in a response that is being buffered, beyond the time that the last bytes read may have taken at
-/// `MIN_RESPONSE_RATE`. Another node can still serve the request.
+/// Maximum pause in a response that is being buffered, in addition to the time that the last bytes received take at
+/// [`MIN_RESPONSE_RATE`]. After it, another node can still serve the request.
 pub(super) const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Lowest rate at which a node is expected to send a response, in bytes per second.
+/// Minimum rate at which a node is expected to send a response, in bytes per second.
 pub(super) const MIN_RESPONSE_RATE: f64 = 64e3;
-/// Longest pause in a response that is being forwarded: no other attempt can replace it any more.
+/// Maximum pause in a response that is being forwarded; longer than [`RESPONSE_STALL_TIMEOUT`], since the request can
+/// no longer be retried.
 pub(super) const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,13 +1,13 @@
-//! The transport to the storage nodes: HTTP/1.1 over a small pool of connections for each node.
+//! The transport to the storage nodes: HTTP/1.1 over a small connection pool per node.
 //!
-//! [`NodeTransport`] carries an attempt out in these steps: the send guard (`guard`) is asked whether the node still
-//! takes work; a connection comes from the `pool` or is opened; the `attempt` drives the `connection` until the
-//! `response` is buffered, or so much of it that the rest can be streamed. The instrumented socket (`stream`) asks the
-//! guard again right before the first byte and notes in the exchange's `progress` when the last byte is written: a
-//! break before it means that the node can't have begun.
+//! [`NodeTransport`] executes an attempt in these steps: the send guard (`guard`) checks that the node still accepts
+//! requests; a connection is taken from the `pool` or opened; the `attempt` drives the `connection` until the
+//! `response` is buffered, completely or far enough to stream the rest. The instrumented socket (`stream`) runs the
+//! guard's check again immediately before the first byte, and records in the exchange's `progress` when the last byte
+//! has been written: if the connection fails before that, the node can't have started to execute the request.
 //!
-//! A connection is no task of its own. The attempt that uses it drives it, so dropping the attempt closes the socket at
-//! once. Nothing here sends a request twice.
+//! A connection has no task of its own. The attempt that uses it polls it, so dropping the attempt closes the socket
+//! immediately. The transport never sends a request twice.
 
 mod addresses;
 mod attempt;
--- a/src/node/pool.rs
+++ b/src/node/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to the nodes, for reuse.
+//! Pool of idle connections to the nodes.
 
 use super::addresses::AddressTable;
 use super::connection::NodeConnection;
@@ -10,30 +10,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest interval between two searches for connections that have been idle for too long.
+/// Maximum interval between two scans for connections that have been idle for too long.
 const MAX_EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
 struct IdleConnection {
-    /// Identifies it in its pool.
+    /// Identifies the connection in the pool.
     id: u64,
     connection: NodeConnection,
 }
 
 /// The idle connections of all nodes.
 ///
-/// A connection that leaves the pool is dropped only after the pool's borrow has ended: its drop returns descriptors,
-/// which may close other connections of the pool.
+/// A connection removed from the pool must be dropped only after the borrow of `idle` has ended: its drop releases a
+/// descriptor, which may close other connections of the pool.
 pub(super) struct ConnectionPool {
     addresses: Rc<RefCell<AddressTable>>,
-    /// Of each node, the longest idle first.
+    /// Idle connections by node, the longest idle first.
     idle: RefCell<HashMap<NodeId, Vec<IdleConnection>>>,
     next_id: Cell<u64>,
-    /// How long a connection may be idle.
+    /// How long a connection may be idle before it is closed.
     idle_timeout: Duration,
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub(super) fn new(addresses: Rc<RefCell<AddressTable>>, idle_timeout: Duration) -> Rc<ConnectionPool> {
         Rc::new(ConnectionPool {
             addresses,
@@ -43,8 +43,8 @@
         })
     }
 
-    /// Takes the most recently used connection that has been idle for `REUSE_DELAY` and is open as far as the runtime
-    /// knows. Those that turn out closed or idle for too long are dropped.
+    /// Takes the most recently used connection that has been idle for at least `REUSE_DELAY` and is not known to be
+    /// closed. Connections found to be closed or idle for too long are dropped.
     pub(super) async fn take(&self, node: NodeId) -> Option<NodeConnection> {
         loop {
             let mut connection = self.remove_newest(node)?;
@@ -62,7 +62,8 @@
         Some(idle.remove(index).connection)
     }
 
-    /// Takes a connection back after an exchange. Drops it if it has ended or its node takes no more work.
+    /// Returns a connection to the pool after an exchange. Drops the connection if it is closed or its node accepts no
+    /// more requests.
     pub(super) fn put(self: &Rc<Self>, node: NodeId, mut connection: NodeConnection) {
         if connection.is_closed() || self.addresses.borrow().ready_address(node).is_none() {
             return;
@@ -79,7 +80,7 @@
         self.idle.borrow_mut().entry(node).or_default().push(IdleConnection { id, connection });
     }
 
-    /// Closes one idle connection, to free its descriptor.
+    /// Closes an idle connection to free its descriptor.
     fn close(&self, node: NodeId, id: u64) {
         let mut pool = self.idle.borrow_mut();
         let Some(idle) = pool.get_mut(&node) else { return };
@@ -95,7 +96,7 @@
         drop(closed);
     }
 
-    /// Closes connections that have been idle for too long; runs as long as the program.
+    /// Closes connections that have been idle for too long. Never returns.
     pub(super) async fn close_expired(&self) {
         loop {
             tokio::time::sleep(self.idle_timeout.min(MAX_EXPIRY_INTERVAL)).await;
--- a/src/node/progress.rs
+++ b/src/node/progress.rs
@@ -1,4 +1,4 @@
-//! How far the exchange on a connection has come: the request's way out and the response's way in.
+//! Progress of the exchange on a connection: how much of the request was written and of the response received.
 
 use super::guard::{NotSentReason, SendGuard, Stage};
 use super::limits::{MAX_RESPONSE_BYTES, MIN_RESPONSE_RATE, RESPONSE_STALL_TIMEOUT};
@@ -13,38 +13,38 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The request's way out. `body_taken` says whether the HTTP library has taken the body's last bytes from us; it may
-/// still buffer them.
+/// Write progress of the request. `body_taken` is whether hyper has polled the last bytes out of the body; it may still
+/// hold them in its write buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteState {
     /// No byte has been written.
     NotStarted { body_taken: bool },
-    /// The guard refused the first byte.
+    /// The send guard refused the first byte.
     Refused(NotSentReason),
     /// Some bytes have been written.
     Writing { body_taken: bool },
-    /// The last byte has been written, so the node may run the request.
+    /// The last byte has been written, so the node may execute the request.
     Complete,
 }
 
-/// Progress of the exchange that a connection carries, shared between the attempt, the request's body and the socket.
+/// Progress of the exchange on a connection, shared by the attempt, the request's body and the socket.
 pub(super) struct ExchangeProgress {
     counters: Rc<Counters>,
-    /// Asked right before the request's first byte.
+    /// Send guard of the request, checked immediately before its first byte.
     guard: RefCell<Option<SendGuard>>,
     request: Cell<WriteState>,
-    /// By when further bytes of the response must arrive; `None` until the first, and after an interim response.
+    /// Deadline for the next bytes of the response; `None` until its first bytes, and again after an interim response.
     next_bytes_due: Cell<Option<Instant>>,
-    /// Bytes read since the request began.
+    /// Number of bytes read since the request was started.
     bytes_read: Cell<usize>,
-    /// An interim (1xx) response has arrived; the final one is still to come.
+    /// Whether an interim (1xx) response was received since the last call of [`ExchangeProgress::due`].
     interim_received: Arc<AtomicBool>,
-    /// The node has closed or reset the connection.
+    /// Whether the node has closed or reset the connection.
     closed_by_node: Cell<bool>,
 }
 
 impl ExchangeProgress {
-    /// The progress of a new connection, which carries no exchange yet.
+    /// Creates the progress of a new connection, which carries no exchange yet.
     pub(super) fn new(counters: Rc<Counters>) -> Rc<ExchangeProgress> {
         Rc::new(ExchangeProgress {
             counters,
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Resets everything for the next request. `body_is_empty` is set if the HTTP library has no body to take.
+    /// Resets the progress for the next request. `body_is_empty` is set if hyper has no body to poll.
     pub(super) fn start(&self, body_is_empty: bool, guard: SendGuard) {
         guard.permit.written.set(WriteProgress::Nothing);
         self.guard.replace(Some(guard));
@@ -67,9 +67,13 @@
         self.interim_received.store(false, Ordering::Relaxed);
     }
 
-    /// Asks the guard before the request's first byte. An error if it refuses; it does so for good.
+    /// Runs the send guard's check before the request's first byte.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the guard refuses the request; the refusal is permanent.
     pub(super) fn check_first_byte(&self, stream: &TcpStream) -> io::Result<()> {
-        let refused = || io::Error::other("the request may not begin");
+        let refused = || io::Error::other("request refused by the send guard");
         match self.request.get() {
             WriteState::NotStarted { .. } => {}
             WriteState::Refused(_) => return Err(refused()),
@@ -85,7 +89,7 @@
         Ok(())
     }
 
-    /// Notes that the HTTP library has taken the body's last bytes.
+    /// Records that hyper has polled the last bytes out of the body.
     pub(super) fn body_taken(&self) {
         match self.request.get() {
             WriteState::NotStarted { .. } => {
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Notes that some bytes have been written to the socket.
+    /// Records that bytes have been written to the socket.
     pub(super) fn bytes_written(&self) {
         match self.request.get() {
             WriteState::NotStarted { body_taken } | WriteState::Writing { body_taken } => {
@@ -107,8 +111,8 @@
         }
     }
 
-    /// Notes that the HTTP library flushes. It does so only once its own buffer is empty, so after the body's last
-    /// bytes were taken from us this means that the socket has the complete request.
+    /// Records that hyper flushes the socket. It does so only when its own write buffer is empty, so a flush after the
+    /// body's last bytes were polled means that the complete request has been written to the socket.
     pub(super) fn flushed(&self) {
         if self.request.get() == (WriteState::Writing { body_taken: true }) {
             self.request.set(WriteState::Complete);
@@ -117,14 +121,14 @@
         }
     }
 
-    /// Tells the core, by way of the permit, how much was written.
+    /// Records in the send permit how much of the request has been written.
     fn report_written(&self, written: WriteProgress) {
         if let Some(guard) = &*self.guard.borrow() {
             guard.permit.written.set(written);
         }
     }
 
-    /// Why the request was not begun, if the guard refused it.
+    /// Why the request was not sent, if the send guard refused it.
     pub(super) fn refused(&self) -> Option<NotSentReason> {
         match self.request.get() {
             WriteState::Refused(reason) => Some(reason),
@@ -137,28 +141,33 @@
         self.request.get() == WriteState::Complete
     }
 
-    /// Notes that bytes of the response have arrived. An error if the response is longer than any may be.
+    /// Records that bytes of the response have been received.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the response exceeds [`MAX_RESPONSE_BYTES`].
     pub(super) fn bytes_received(&self, count: usize) -> io::Result<()> {
         self.bytes_read.set(self.bytes_read.get() + count);
         let time_at_min_rate = Duration::from_secs_f64(count as f64 / MIN_RESPONSE_RATE);
         self.next_bytes_due.set(Some(Instant::now() + RESPONSE_STALL_TIMEOUT + time_at_min_rate));
         if self.bytes_read.get() > MAX_RESPONSE_BYTES {
-            return Err(io::Error::other("response too long"));
+            return Err(io::Error::other(format!("response exceeds {MAX_RESPONSE_BYTES} bytes")));
         }
         Ok(())
     }
 
-    /// The flag to set when an interim response arrives.
+    /// The flag to set when an interim response is received.
     pub(super) fn interim_flag(&self) -> Arc<AtomicBool> {
         self.interim_received.clone()
     }
 
-    /// Whether part of the final response has arrived.
+    /// Whether part of the final response has been received.
     pub(super) fn has_response_begun(&self) -> bool {
         self.next_bytes_due.get().is_some()
     }
 
-    /// By when the exchange must make progress or end, given the attempt's deadline.
+    /// The time by which the exchange must make progress or end: the attempt's deadline or, if earlier, that of the
+    /// response's next bytes.
     pub(super) fn due(&self, attempt_deadline: Instant) -> Instant {
         if self.interim_received.swap(false, Ordering::Relaxed) {
             self.next_bytes_due.set(None);
@@ -169,7 +178,7 @@
         }
     }
 
-    /// Notes that the node has closed or reset the connection.
+    /// Records that the node has closed or reset the connection.
     pub(super) fn closed_by_node(&self) {
         self.closed_by_node.set(true);
     }
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -1,4 +1,4 @@
-//! A request as it goes to a node, and its body.
+//! The HTTP request to a node, and its body.
 
 use super::progress::ExchangeProgress;
 use crate::core::content::{IncompleteBody, Payload};
@@ -15,19 +15,19 @@
 use std::sync::atomic::Ordering;
 use std::task::{Context, Poll, ready};
 
-/// Where a request's body comes from.
+/// Source of a request's body.
 enum BodySource {
-    /// Memory; `None` once the bytes were taken, or if there are none.
+    /// Bytes in memory; `None` if the body is empty or has been polled.
     Buffered(Option<Bytes>),
-    /// The client, as it sends it.
+    /// Bytes forwarded as the client sends them.
     Streamed(UploadReader),
 }
 
-/// The body of a request to a node. It notes when the HTTP library has taken its last bytes.
+/// Body of a request to a node. It records in the exchange's progress when hyper has polled its last bytes.
 pub(super) struct RequestBody {
     source: BodySource,
-    /// How many bytes the HTTP library has not taken yet, if that is known.
-    left: Option<u64>,
+    /// Number of bytes that hyper has not yet polled, if known.
+    remaining: Option<u64>,
     progress: Rc<ExchangeProgress>,
 }
 
@@ -44,26 +44,27 @@
             BodySource::Streamed(reader) => ready!(Pin::new(reader).poll_next(cx)),
         };
         if let Some(Ok(bytes)) = &chunk {
-            self.left = self.left.map(|left| left.saturating_sub(bytes.len() as u64));
+            self.remaining = self.remaining.map(|remaining| remaining.saturating_sub(bytes.len() as u64));
         }
-        // The library does not ask for more than the length, so the last bytes may be followed by no end.
-        if chunk.is_none() || self.left == Some(0) {
+        // hyper does not poll past the announced length, so `None` may never be returned after the last bytes.
+        if chunk.is_none() || self.remaining == Some(0) {
             self.progress.body_taken();
         }
         Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == Some(0)
+        self.remaining == Some(0)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.remaining.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
-/// Builds the HTTP request for a node. `time_left_s` is the time until the attempt's deadline. `None` if its parts are
-/// no valid HTTP, or if its body is streamed and an earlier attempt has taken it.
+/// Builds the HTTP request to a node. `time_left_s` is the time until the attempt's deadline, in seconds. Returns
+/// `None` if the target or a header value is not valid HTTP, or if the body is streamed and an earlier attempt has
+/// taken it.
 pub(super) fn build(
     node_request: &NodeRequest,
     address: SocketAddr,
@@ -93,14 +94,14 @@
     Some(request)
 }
 
-/// The body of a request; `None` if an earlier attempt has taken it.
+/// Creates the request's body; `None` if it is streamed and an earlier attempt has taken it.
 fn body(payload: &Payload, progress: &Rc<ExchangeProgress>) -> Option<RequestBody> {
-    let (source, left) = match payload {
+    let (source, remaining) = match payload {
         Payload::Buffered(bytes) => {
             let source = BodySource::Buffered(Some(bytes.clone()).filter(|bytes| !bytes.is_empty()));
             (source, Some(bytes.len() as u64))
         }
         Payload::Streamed(upload) => (BodySource::Streamed(upload.take()?), upload.length),
     };
-    Some(RequestBody { source, left, progress: progress.clone() })
+    Some(RequestBody { source, remaining, progress: progress.clone() })
 }
--- a/src/node/response.rs
+++ b/src/node/response.rs
@@ -1,4 +1,4 @@
-//! A node's response: reading it, classifying it, and streaming one that is too long to buffer.
+//! Receiving and classifying a node's response, and streaming responses that are too long to buffer.
 
 use super::connection::NodeConnection;
 use super::limits::{
@@ -22,30 +22,30 @@
 use thiserror::Error;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Why a node's response could not be read.
+/// Why a node's response could not be received.
 #[derive(Debug, Error)]
 pub(super) enum ResponseError {
-    /// The exchange failed, or the response's head is not valid HTTP.
+    /// The exchange failed, or the response head is not valid HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// It has both a length and a transfer coding, so it is in doubt where it ends.
+    /// The response has both a content length and a transfer coding, so its end is ambiguous.
     #[error("response with both content-length and transfer-encoding")]
     AmbiguousLength,
-    /// Its body broke off, is malformed or too long.
+    /// The body ended early, or is malformed or too long.
     #[error(transparent)]
     Body(#[from] BodyError<hyper::Error>),
 }
 
-/// A response of which the beginning, or all, is buffered.
+/// A response whose body is buffered, completely or up to a prefix.
 pub(super) struct NodeResponse {
     head: hyper::http::response::Parts,
-    /// What is left of the body.
+    /// The body's bytes that are not yet buffered.
     rest: Incoming,
     buffered: GatheredBody,
 }
 
 impl NodeResponse {
-    /// Waits for the response and buffers it: all of a short one, the beginning of a longer one.
+    /// Waits for the response and buffers its body: completely if it is short, otherwise its beginning.
     pub(super) async fn receive(
         response: impl Future<Output = hyper::Result<Response<Incoming>>>,
         memory: &BodyMemory,
@@ -54,7 +54,7 @@
         if head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING) {
             return Err(ResponseError::AmbiguousLength);
         }
-        // A body of unknown length ends with its connection's close; a reset is an error.
+        // A body of unknown length ends when the node closes the connection; a reset is an error.
         let (max_bytes, partial) = match body.size_hint().exact() {
             Some(length) if length > MAX_BUFFERED_BYTES as u64 => (STREAM_START_BYTES, None),
             Some(_) => (MAX_BUFFERED_BYTES, None),
@@ -67,8 +67,8 @@
         Ok(NodeResponse { head, rest: body, buffered })
     }
 
-    /// The attempt's result. The connection returns to the pool if the response is complete, goes with the body if
-    /// that is streamed, and is closed otherwise.
+    /// Converts the response to the attempt's result. The connection returns to the pool if the response is complete,
+    /// is owned by the body if the body is streamed, and is closed otherwise.
     pub(super) fn into_result(
         self,
         connection: NodeConnection,
@@ -90,7 +90,8 @@
     }
 }
 
-/// Classifies a response by its head. Only a node that says that it has not run the request has rejected it.
+/// Classifies a response by its head. It counts as a rejection only if the node states with `x-unprocessed: 1` that it
+/// has not executed the request.
 fn classify(head: &hyper::http::response::Parts) -> AttemptOutcome {
     let is_unprocessed = head.headers.get("x-unprocessed").is_some_and(|value| value == "1");
     match head.status {
@@ -102,15 +103,15 @@
     }
 }
 
-/// What the volume was served over all heads, in multiples of its plan's base rate; `None` if it is missing or can't be
-/// read.
+/// Rate at which the volume is served across all heads, as a multiple of its plan's base rate; `None` if the header is
+/// missing or invalid.
 fn usage(headers: &HeaderMap) -> Option<f64> {
     let text = headers.get("x-iops-used")?.to_str().ok()?;
     let percent: f64 = text.trim().parse().ok()?;
     if percent.is_finite() && percent >= 0.0 { Some(percent / 100.0) } else { None }
 }
 
-/// The node's load report; empty if it is missing or can't be read.
+/// The node's load report; empty if the header is missing or invalid.
 fn load_report(headers: &HeaderMap) -> LoadReport {
     let json = headers.get("x-backend-load").map(HeaderValue::as_bytes);
     let values: HashMap<String, f64> =
@@ -118,8 +119,8 @@
     crate::config::report(values.iter().map(|(name, value)| (name.as_str(), *value)))
 }
 
-/// The rest of a response that is forwarded as it arrives, with the connection that it arrives on. Dropping it closes
-/// the connection, unless the response has ended.
+/// The rest of a response that is forwarded as it arrives, and the connection on which it arrives. Dropping the stream
+/// closes the connection, unless the response has ended.
 struct StreamedResponse {
     /// `None` once the response has ended or failed.
     connection: Option<NodeConnection>,
@@ -140,7 +141,7 @@
         StreamedResponse { connection: Some(connection), body, node, pool, stall_timer }
     }
 
-    /// Polls the body for its next bytes, once the connection has been polled.
+    /// Polls the body for its next bytes; the connection must have been polled before.
     fn poll_body(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
         loop {
             let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
@@ -158,7 +159,7 @@
             };
             // Trailers are not forwarded.
             if let Ok(bytes) = frame.into_data() {
-                // A client need not poll past the length that it was told.
+                // The stream may not be polled again after the announced length.
                 if self.body.is_end_stream() {
                     self.return_connection();
                 }
@@ -178,7 +179,7 @@
     type Item = Result<Bytes, IncompleteBody>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        // Twice: the body asks the connection for more only when it is polled.
+        // Polled twice: the body requests more data from the connection only when it is polled itself.
         for _ in 0..2 {
             let Some(connection) = &mut self.connection else { return Poll::Ready(None) };
             connection.poll_http(cx);
@@ -188,6 +189,8 @@
         }
         ready!(self.stall_timer.as_mut().poll(cx));
         self.connection = None;
-        Poll::Ready(Some(Err(IncompleteBody::new("the node stopped"))))
+        Poll::Ready(Some(Err(IncompleteBody::new(format!(
+            "no data from the node for {STREAM_STALL_TIMEOUT:?}"
+        )))))
     }
 }
--- a/src/node/stream.rs
+++ b/src/node/stream.rs
@@ -1,5 +1,5 @@
-//! The socket of a node connection, instrumented: it asks the guard before the request's first byte and notes when the
-//! last one is written.
+//! Instrumented socket of a node connection: it checks the send guard before the request's first byte and records when
+//! the last byte has been written.
 
 use super::progress::ExchangeProgress;
 use std::io;
@@ -9,14 +9,14 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket that reports what passes through it to its exchange's progress.
+/// A socket that reports reads, writes and flushes to the progress of the exchange.
 pub(super) struct InstrumentedStream {
     pub(super) stream: TcpStream,
     pub(super) progress: Rc<ExchangeProgress>,
 }
 
 impl InstrumentedStream {
-    /// Writes, unless it would be the first byte of a request that may not begin.
+    /// Writes to the socket, unless the send guard refuses the first byte of the request.
     fn poll_guarded_write(
         &mut self,
         write: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<usize>>,
--- a/src/node/transport.rs
+++ b/src/node/transport.rs
@@ -1,4 +1,4 @@
-//! The node transport: the nodes' addresses, the pool of connections, and what attempts need of the head's resources.
+//! The node transport: the nodes' addresses, the connection pool and the resource budgets that attempts share.
 
 use super::addresses::{AddressTable, NodeAddress};
 use super::attempt;
@@ -19,16 +19,16 @@
 /// Settings of the node transport.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeTransportSettings {
-    /// How long a connection may take to open, in seconds.
+    /// Timeout for opening a connection, in seconds.
     pub connect_timeout_s: f64,
-    /// After what time nodes close idle connections, in seconds.
+    /// Idle time after which nodes close a connection, in seconds.
     pub node_idle_timeout_s: f64,
     /// Number of heads in the fleet.
     pub heads: u32,
 }
 
 impl NodeTransportSettings {
-    /// How long a connection may be idle in the pool.
+    /// Maximum idle time of a connection in the pool.
     fn pool_idle_timeout(&self) -> Duration {
         let max_s =
             if self.heads > SMALL_FLEET_MAX_HEADS { f64::INFINITY } else { SMALL_FLEET_MAX_POOL_IDLE_S };
@@ -36,7 +36,7 @@
     }
 }
 
-/// Sends requests to the nodes: HTTP/1.1 over a small pool of connections for each.
+/// Sends requests to the nodes over HTTP/1.1, with a small connection pool per node.
 pub struct NodeTransport {
     pub(super) addresses: Rc<RefCell<AddressTable>>,
     pub(super) pool: Rc<ConnectionPool>,
@@ -47,7 +47,7 @@
 }
 
 impl NodeTransport {
-    /// A transport that knows no node yet.
+    /// Creates a transport with an empty address table.
     pub fn new(
         descriptors: Rc<DescriptorBudget>,
         memory: Rc<BodyMemory>,
@@ -60,8 +60,8 @@
         Rc::new(NodeTransport { addresses, pool, descriptors, memory, counters, connect_timeout })
     }
 
-    /// Sets a node's address and state, as discovery has them. The idle connections to a node that takes no more work,
-    /// or whose address has changed, are closed.
+    /// Sets a node's address and state from discovery. Closes the idle connections to the node if it accepts no more
+    /// requests or its address has changed.
     pub fn set_address(&self, node: NodeId, address: NodeAddress) {
         let is_at_same_address = self.addresses.borrow().address(node) == Some(address.address);
         let keeps_connections = is_at_same_address && address.state == NodeState::Ready;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Notes the version of the list that all addresses are from by now.
+    /// Records the version of the endpoint list, once all its addresses have been set.
     pub fn set_list_version(&self, version: u64) {
         self.addresses.borrow_mut().set_list_version(version);
     }
@@ -82,12 +82,12 @@
         self.pool.close_all(node);
     }
 
-    /// Closes connections that have been idle for too long; runs as long as the program.
+    /// Closes connections that have been idle for too long. Never returns.
     pub async fn close_idle_connections(&self) {
         self.pool.close_expired().await;
     }
 
-    /// The guard of an attempt at a node, with the address that the node has now.
+    /// Creates the send guard of an attempt, with the node's current address.
     pub(super) fn send_guard(&self, node: NodeId, request_id: Bytes, permit: &Rc<SendPermit>) -> SendGuard {
         SendGuard {
             addresses: self.addresses.clone(),
