--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Sizes of the fleet of heads that several modules' limits depend on.
+//! Fleet sizes on which the limits of several modules depend.
 
-/// Largest number of heads whose simultaneous requests one shared server, node or discovery source is assumed to bear.
-/// Larger fleets spread their polls and open new connections rather than reuse old ones.
+/// Largest number of heads whose simultaneous requests a single server, node or discovery source is assumed to handle.
+/// Heads of larger fleets spread their polls over time and open new connections instead of reusing old ones.
 pub const SMALL_FLEET_MAX_HEADS: u32 = 8;
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,7 +1,7 @@
-//! The phases of the process, and what follows from them for client connections.
+//! The phases of the process, and their effect on client connections.
 //!
-//! A process starts, serves, drains after SIGTERM or SIGINT (a graceful shutdown) and stops. While a newer process
-//! of the same head takes over, one of the two accepts connections.
+//! A process starts, serves, drains after SIGTERM or SIGINT (graceful shutdown) and stops. During a handover to a newer
+//! process of the same head, only one of the two accepts connections.
 
 use std::io;
 use tokio::net::{TcpListener, TcpStream};
@@ -10,17 +10,17 @@
 /// A phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Reads its configuration, opens its listeners and waits for the endpoint list.
+    /// Reading the configuration, opening listeners and waiting for the endpoint list.
     Starting,
-    /// In service.
+    /// Serving requests.
     Ready,
-    /// Graceful shutdown: it answers the requests that it accepted and those that still come.
+    /// Graceful shutdown: answering the requests already accepted and those that still arrive.
     Draining,
-    /// Everything is answered.
+    /// All requests have been answered.
     Stopped,
 }
 
-/// The state of the process as frontends, the handover and the graceful shutdown share it.
+/// State of the process, shared by the frontends, the handover and the graceful shutdown.
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
     is_accepting: watch::Sender<bool>,
@@ -28,7 +28,7 @@
     open_connections: watch::Sender<usize>,
 }
 
-/// A client connection that the shutdown waits for; dropped when the connection has closed.
+/// Counts a client connection as open until dropped; the graceful shutdown waits for all open connections.
 pub struct ConnectionGuard {
     open_connections: watch::Sender<usize>,
 }
@@ -58,12 +58,12 @@
 }
 
 impl Lifecycle {
-    /// The present phase.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Enters a later phase; an earlier one is ignored.
+    /// Enters a later phase. Has no effect if `phase` is the current or an earlier one.
     pub fn enter(&self, phase: Phase) {
         let has_entered = self.phase.send_if_modified(|current| {
             if phase <= *current {
@@ -77,16 +77,16 @@
         }
     }
 
-    /// Sets whether this process accepts connections: of two processes of a head, one does.
+    /// Sets whether this process accepts connections. During a handover, only one of a head's two processes does.
     pub fn set_accepting(&self, is_accepting: bool) {
         self.is_accepting.send_replace(is_accepting);
     }
 
-    /// Accepts the next connection, once this process accepts connections.
+    /// Accepts the next connection; waits while this process does not accept connections.
     ///
     /// # Errors
     ///
-    /// Those of the listener.
+    /// Returns the listener's errors.
     pub async fn accept(&self, listener: &TcpListener) -> io::Result<TcpStream> {
         let mut accepting = self.is_accepting.subscribe();
         loop {
@@ -100,28 +100,28 @@
         }
     }
 
-    /// Counts a connection as open for as long as the guard lives.
+    /// Counts a connection as open until the guard is dropped.
     pub fn track_connection(&self) -> ConnectionGuard {
         ConnectionGuard::new(&self.open_connections)
     }
 
-    /// Whether clients should reconnect, to reach the process that accepts connections: this one closes its
-    /// connections, or a newer one accepts in its place.
+    /// Whether clients should reconnect to reach the process that accepts connections, because this one is closing its
+    /// connections or another one accepts connections in its place.
     pub fn should_reconnect(&self) -> bool {
         *self.is_closing.borrow() || !*self.is_accepting.borrow()
     }
 
-    /// Signals that idle connections close, and others after their present response.
+    /// Signals connections to close: idle ones immediately, the others after their current response.
     pub fn close_idle_connections(&self) {
         self.is_closing.send_replace(true);
     }
 
-    /// A receiver that turns true at [`Lifecycle::close_idle_connections`].
+    /// A receiver whose value becomes true on [`Lifecycle::close_idle_connections`].
     pub fn subscribe_closing(&self) -> watch::Receiver<bool> {
         self.is_closing.subscribe()
     }
 
-    /// Waits until no connection is open.
+    /// Waits until all connections are closed.
     pub async fn connections_closed(&self) {
         // The sender lives in `self`, so the wait can't fail.
         let _ = self.open_connections.subscribe().wait_for(|count| *count == 0).await;
--- a/src/resources/descriptors.rs
+++ b/src/resources/descriptors.rs
@@ -1,5 +1,5 @@
-//! The budget of file descriptors: every connection holds a [`ConnectionSlot`], and when descriptors run short
-//! the connection that has been idle longest is closed.
+//! Budget of file descriptors: every connection holds a [`ConnectionSlot`], and when descriptors run out, the
+//! connection that has been idle longest is closed.
 
 use crate::metrics::counters::Counters;
 use std::cell::{Cell, RefCell};
@@ -9,41 +9,42 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Connections that the admin server holds at a time, beside the budget: enough for every operator's tool.
+/// Maximum number of connections to the admin server, which are not part of the budget: enough for all operators'
+/// tools.
 pub const MAX_ADMIN_CONNECTIONS: usize = 16;
-/// Descriptors outside the budget: the admin server's, and 24 for the listeners, discovery, the log and what the
-/// runtime needs.
+/// Number of descriptors outside the budget: the admin server's connections, and 24 for the listeners, discovery, the
+/// log and the runtime.
 const RESERVED_DESCRIPTORS: usize = 24 + MAX_ADMIN_CONNECTIONS;
-/// Lower bound of the budget, so that a low limit leaves some service.
+/// Lower bound of the budget, so that requests can still be served with a low descriptor limit.
 const MIN_BUDGET: usize = 8;
-/// One in so many of the budget is left to connections to nodes: a client that can't be served gains nothing by
-/// being admitted.
+/// Divisor of the budget that gives the slots reserved for connections to nodes: accepting a client is useless if no
+/// connection to a node can be opened for it.
 const NODE_RESERVE_DIVISOR: usize = 5;
-/// One in so many of the descriptors may be held by clients' connections that are idle between two requests.
-/// Clients together hold twice as many at most; those with a connection of their own for each request would
-/// find none left.
+/// Divisor of the descriptor limit that gives the maximum number of client connections kept open while idle between two
+/// requests. All client connections together hold at most twice as many descriptors: without this maximum, idle ones
+/// would leave none for clients that open a connection for each request.
 const IDLE_CLIENTS_DIVISOR: usize = 6;
-/// Pause before a slot is asked for again.
+/// Interval at which a waiting client retries to get a slot.
 const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a new connection is not closed: its first request may be on its way.
+/// How long a new connection is kept open without a request, since its first request may be in transit.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
 
-/// Which side a connection is to.
+/// The peer of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// From a client or an initiator.
+    /// A client, such as an HTTP client or an iSCSI initiator.
     Client,
-    /// To a node.
+    /// A storage node.
     Node,
 }
 
-/// Asks a connection to close.
+/// Callback that requests a connection to close.
 type CloseRequest = Box<dyn FnOnce()>;
 
-/// The order in which connections became idle, or were accepted: the lowest is closed first.
+/// Sequence number of the moment at which a connection became idle or was accepted; the lowest is closed first.
 type CloseOrder = u64;
 
-/// A connection between two requests.
+/// A connection that is idle between two requests.
 struct IdleConnection {
     side: Side,
     close: CloseRequest,
@@ -55,17 +56,17 @@
     close: CloseRequest,
 }
 
-/// Counts open connections and knows which of them can be closed.
+/// Counts open connections and tracks which of them can be closed.
 pub struct DescriptorBudget {
-    /// Descriptors that all processes of the head may hold.
+    /// Number of descriptors that all processes of the head may use together.
     limit: Cell<usize>,
-    /// This process's share of them, 0 to 1.
+    /// This process's share of the limit, from 0 to 1.
     share: Cell<f64>,
-    /// Slots in use.
+    /// Number of slots in use.
     open: Cell<usize>,
-    /// Slots of connections that were asked to close and have not yet.
+    /// Number of slots of connections that were requested to close and are still open.
     closing: Cell<usize>,
-    /// Notified when a slot becomes free.
+    /// Notified when a slot is released.
     freed: Notify,
     next_order: Cell<CloseOrder>,
     idle: RefCell<BTreeMap<CloseOrder, IdleConnection>>,
@@ -75,7 +76,7 @@
 }
 
 impl DescriptorBudget {
-    /// A budget out of `limit` descriptors of the process.
+    /// Creates a budget for a limit of `limit` descriptors.
     pub fn new(limit: usize, counters: Rc<Counters>) -> Rc<DescriptorBudget> {
         Rc::new(DescriptorBudget {
             limit: Cell::new(limit),
@@ -91,24 +92,24 @@
         })
     }
 
-    /// Changes the limit; connections past a lower one stay until they end.
+    /// Changes the limit. Connections beyond a lower limit stay open until they end.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
-    /// Changes this process's share of the limit, 0 to 1; idle connections past it are closed.
+    /// Changes this process's share of the limit, from 0 to 1. Closes idle connections that exceed the new share.
     pub fn set_share(&self, share: f64) {
         self.share.set(share);
         while self.staying_open() > self.budget() && self.close_idle_connection() {}
     }
 
-    /// The part of the budget that is in use; 1 where all of it is.
+    /// Fraction of the budget that is in use; above 1 if more slots are in use than the budget has.
     pub fn used_fraction(&self) -> f64 {
         self.open.get() as f64 / self.budget() as f64
     }
 
-    /// A slot for a connection about to be opened or just accepted. When all are taken, another connection
-    /// is asked to close; `None` if none can be, or if a client has to wait until it has.
+    /// Returns a slot for a connection about to be opened or accepted. If all slots are in use, another connection is
+    /// requested to close. Returns `None` if none can be closed, or, for a client, if the slot is not yet released.
     pub fn slot(self: &Rc<Self>, side: Side) -> Option<ConnectionSlot> {
         let limit = match side {
             Side::Client => self.budget() - self.budget() / NODE_RESERVE_DIVISOR,
@@ -124,8 +125,8 @@
         Some(ConnectionSlot { budget: self.clone(), side, state: Cell::new(SlotState::InUse) })
     }
 
-    /// Waits for a client's slot. It is taken before the connection is accepted, since one that is accepted has
-    /// to be served.
+    /// Waits for a slot for a client connection. The slot must be obtained before the connection is accepted, since an
+    /// accepted connection has to be served.
     pub async fn client_slot(self: &Rc<Self>) -> ConnectionSlot {
         loop {
             match self.slot(Side::Client) {
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Asks a connection to close: the oldest on which nothing was received, or else the one idle longest.
-    /// Returns whether there was one.
+    /// Requests a connection to close: the oldest on which nothing has been received, or else the one that has been
+    /// idle longest. Returns whether there was such a connection.
     pub fn close_idle_connection(&self) -> bool {
         let Some(close) = self.take_unused().or_else(|| self.take_idle()) else { return false };
         self.counters.reclaimed.add();
@@ -145,7 +146,7 @@
         true
     }
 
-    /// Whether so many clients' connections are idle that further ones shall end with their answer.
+    /// Whether so many client connections are idle that further ones should be closed after their response.
     pub fn has_too_many_idle_clients(&self) -> bool {
         self.idle_clients.get() >= self.share_of_limit() / IDLE_CLIENTS_DIVISOR
     }
@@ -154,17 +155,17 @@
         (self.limit.get() as f64 * self.share.get()) as usize
     }
 
-    /// Slots that this process may have.
+    /// Number of slots that this process may use.
     fn budget(&self) -> usize {
         self.share_of_limit().saturating_sub(RESERVED_DESCRIPTORS).max(MIN_BUDGET)
     }
 
-    /// Slots of connections that were not asked to close.
+    /// Number of slots in use by connections that were not requested to close.
     fn staying_open(&self) -> usize {
         self.open.get() - self.closing.get()
     }
 
-    /// Takes the oldest unused connection, if its first request has had its time to arrive.
+    /// Removes the oldest unused connection from the list, unless it is still within [`FIRST_REQUEST_GRACE`].
     fn take_unused(&self) -> Option<CloseRequest> {
         let mut unused = self.unused.borrow_mut();
         let oldest = unused.first_entry()?;
@@ -174,7 +175,7 @@
         Some(oldest.remove().close)
     }
 
-    /// Takes the connection that has been idle longest.
+    /// Removes the connection that has been idle longest from the list.
     fn take_idle(&self) -> Option<CloseRequest> {
         let (_, connection) = self.idle.borrow_mut().pop_first()?;
         self.count_no_longer_idle(connection.side);
@@ -198,20 +199,20 @@
     }
 }
 
-/// What a connection with a slot is doing.
+/// State of a connection that holds a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SlotState {
-    /// It carries a request.
+    /// The connection carries a request.
     InUse,
-    /// It is between two requests. The budget no longer lists it once it was asked to close.
+    /// The connection is between two requests. It is removed from the budget's list when it is requested to close.
     Idle(CloseOrder),
-    /// Nothing has been received on it. The budget no longer lists it once it was asked to close.
+    /// Nothing has been received on the connection. It is removed from the budget's list when it is requested to close.
     Unused(CloseOrder),
-    /// It was asked to close.
+    /// The connection was requested to close.
     Closing,
 }
 
-/// One connection's slot in the budget, freed when dropped.
+/// A connection's slot in the budget, released when dropped.
 pub struct ConnectionSlot {
     budget: Rc<DescriptorBudget>,
     side: Side,
@@ -219,7 +220,7 @@
 }
 
 impl ConnectionSlot {
-    /// Marks the connection idle from now on; `close` is called at most once, when descriptors run short.
+    /// Marks the connection as idle. `close` is called at most once, when descriptors run out.
     pub fn mark_idle(&self, close: impl FnOnce() + 'static) {
         let Some(order) = self.next_order() else { return };
         self.state.set(SlotState::Idle(order));
@@ -228,7 +229,7 @@
         self.budget.idle.borrow_mut().insert(order, connection);
     }
 
-    /// Marks a new connection, on which nothing has been received yet; `close` as in [`Self::mark_idle`].
+    /// Marks a new connection as one on which nothing has been received. `close` is called as for [`Self::mark_idle`].
     pub fn mark_unused(&self, close: impl FnOnce() + 'static) {
         let Some(order) = self.next_order() else { return };
         self.state.set(SlotState::Unused(order));
@@ -236,7 +237,7 @@
         self.budget.unused.borrow_mut().insert(order, connection);
     }
 
-    /// Marks the connection as in use, unless it was asked to close.
+    /// Marks the connection as in use, unless it was requested to close.
     pub fn mark_in_use(&self) {
         match self.state.get() {
             SlotState::InUse | SlotState::Closing => {}
@@ -254,15 +255,15 @@
         }
     }
 
-    /// The next place in the order of closing; none for a connection that was asked to close and is about to.
+    /// The next sequence number in the order of closing; `None` for a connection that was requested to close.
     fn next_order(&self) -> Option<CloseOrder> {
         self.mark_in_use();
         (self.state.get() == SlotState::InUse).then(|| self.budget.next_order())
     }
 }
 
-/// The state of a connection that is idle or unused no longer: one that the budget does not list any more was
-/// asked to close.
+/// The state of a connection that is no longer idle or unused: if it is missing from the budget's list, it was
+/// requested to close.
 fn state_after_listing(was_listed: bool) -> SlotState {
     if was_listed { SlotState::InUse } else { SlotState::Closing }
 }
--- a/src/resources/memory.rs
+++ b/src/resources/memory.rs
@@ -1,4 +1,4 @@
-//! The bound on what bodies hold of the memory, over all pending requests and answers.
+//! Limit on the memory that request and response bodies use together.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -11,57 +11,59 @@
 use tokio::sync::{Mutex, Notify};
 use tokio::time::{Instant, timeout_at};
 
-/// Memory that is not for bodies: the program, the scheduler, connections and their buffers.
+/// Memory not available to bodies: the program, the scheduler, connections and their buffers, in bytes.
 const RESERVED_BYTES: usize = 8 << 20;
-/// Lower bound of the limit, so that little memory leaves some service.
+/// Lower bound of the limit in bytes, so that a machine with little memory can still serve requests.
 const MIN_LIMIT_BYTES: usize = RESERVED_BYTES / 4;
-/// Longest body that is received, held or forwarded: far past any that clients of a head have.
+/// Maximum length of a body in bytes, buffered or forwarded: far longer than any that clients of a head send or
+/// request.
 pub const MAX_BODY_BYTES: u64 = 33 << 20;
 
-/// Why a body was not received.
+/// Why a body could not be received.
 #[derive(Debug, Error)]
 pub enum BodyError<E> {
-    /// It is longer than [`MAX_BODY_BYTES`].
-    #[error("a body past any sensible length")]
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("body exceeds {MAX_BODY_BYTES} bytes")]
     TooLong,
-    /// It broke off, or its framing is wrong.
-    #[error("a broken body: {0}")]
+    /// The body ended early, or its framing is invalid.
+    #[error("body incomplete or malformed: {0}")]
     Broken(E),
 }
 
-/// The first bytes of a body.
+/// The received beginning of a body.
 pub struct GatheredBody {
-    /// What was received.
+    /// The received bytes.
     pub bytes: Bytes,
-    /// Whether that is all of the body.
+    /// Whether `bytes` is the complete body.
     pub is_complete: bool,
 }
 
-/// Lets [`BodyMemory::gather`] return before the body has ended.
+/// Permits [`BodyMemory::gather`] to return before the body has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct PartialBody {
-    /// When it returns.
+    /// When [`BodyMemory::gather`] returns what it has received, provided that it has received `min_bytes`.
     pub deadline: Instant,
-    /// How many bytes it waits for in any case.
+    /// Number of bytes that [`BodyMemory::gather`] waits for even after `deadline`.
     pub min_bytes: usize,
 }
 
-/// Part of the limit that one reservation at a time may take beyond it, as a divisor. Bodies that wait for their turn may
-/// hold all of the memory; without this, none of them would ever have its turn. The limit leaves as much again free.
+/// Divisor of the limit that gives the size of the overdraft, by which one reservation at a time may exceed the limit.
+/// Bodies that wait for a reservation may together hold all of the memory; without the overdraft, none of them could
+/// proceed. The limit itself leaves as much memory again free.
 const OVERDRAFT_DIVISOR: usize = 4;
 
-/// Bytes that bodies hold. Buffers share it, and may be dropped on any thread.
+/// Number of bytes that bodies hold. Shared by the buffers, which may be dropped on any thread.
 #[derive(Default)]
 struct MemoryUsage {
     bytes: AtomicUsize,
-    /// A reservation beyond the limit is held.
+    /// Whether the overdraft is held by a reservation.
     is_overdrawn: AtomicBool,
-    /// Notified when bytes are given back.
+    /// Notified when bytes are released.
     released: Notify,
 }
 
 impl MemoryUsage {
-    /// Adds bytes; returns how many are in use then.
+    /// Adds bytes and returns the new number of bytes in use.
     fn add(&self, bytes: usize) -> usize {
         self.bytes.fetch_add(bytes, Ordering::Relaxed) + bytes
     }
@@ -78,28 +80,28 @@
     }
 }
 
-/// A part of the memory for bodies, given back when dropped.
+/// A reservation of memory for bodies, released when dropped.
 pub struct MemoryReservation {
     bytes: usize,
-    /// It is the one beyond the limit.
+    /// Whether the reservation holds the overdraft.
     is_overdraft: bool,
     usage: Arc<MemoryUsage>,
 }
 
 impl MemoryReservation {
-    /// How many bytes it has.
+    /// Number of reserved bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Gives back all but so many bytes; no effect if it has no more.
+    /// Releases all but `bytes` bytes; no effect if the reservation is not larger.
     pub fn shrink_to(&mut self, bytes: usize) {
         let released = self.bytes.saturating_sub(bytes);
         self.bytes -= released;
         self.usage.release(released);
     }
 
-    /// Adds another reservation of the same memory.
+    /// Merges another reservation of the same memory into this one.
     pub fn merge(&mut self, mut other: MemoryReservation) {
         self.bytes += std::mem::take(&mut other.bytes);
         self.is_overdraft |= std::mem::take(&mut other.is_overdraft);
@@ -116,33 +118,33 @@
     }
 }
 
-/// What bodies hold, and may hold together.
+/// The memory budget that all bodies share.
 pub struct BodyMemory {
-    /// Bytes that bodies hold, shared with each of their buffers.
+    /// Number of bytes in use, shared with each buffer and reservation.
     in_use: Arc<MemoryUsage>,
-    /// Held by whoever waits for memory: those who came first are served first.
+    /// Held by the caller that waits for memory, so that waiting callers are served in order of arrival.
     reservation_queue: Mutex<()>,
-    /// Bytes that all processes of the head may hold.
+    /// Number of bytes that all processes of the head may use together.
     limit: Cell<usize>,
-    /// This process's share of them, 0 to 1.
+    /// This process's share of the limit, from 0 to 1.
     share: Cell<f64>,
 }
 
-/// A body's buffer, which returns its bytes to the limit when the last owner drops it.
+/// A body's buffer, which releases its bytes when its last owner drops it.
 struct BodyBuffer {
     bytes: BytesMut,
     in_use: Arc<MemoryUsage>,
 }
 
 impl BodyBuffer {
-    /// Adds received bytes; returns whether there is memory for more.
+    /// Appends received bytes and returns whether memory is left for more.
     fn append(&mut self, data: &[u8], limit: usize) -> bool {
         let in_use = self.in_use.add(data.len());
         self.bytes.extend_from_slice(data);
         in_use < limit
     }
 
-    /// The buffer as shared bytes.
+    /// Converts the buffer to shared bytes.
     fn into_bytes(self) -> Bytes {
         if self.bytes.is_empty() { Bytes::new() } else { Bytes::from_owner(self) }
     }
@@ -161,7 +163,7 @@
 }
 
 impl BodyMemory {
-    /// The memory for bodies on a machine with so many MB.
+    /// Creates the budget for a machine with `memory_mb` MiB of memory.
     pub fn new(memory_mb: usize) -> Rc<BodyMemory> {
         let memory = BodyMemory {
             in_use: Arc::default(),
@@ -173,32 +175,33 @@
         Rc::new(memory)
     }
 
-    /// Changes the limit; what is held past a lower one stays until it is dropped.
+    /// Changes the limit. Memory in use beyond a lower limit stays in use until it is dropped.
     pub fn set_limit(&self, memory_mb: usize) {
         let machine_bytes = memory_mb.saturating_mul(1 << 20);
-        // Half: a buffer grows by doubling, and the connection that the body goes out on buffers some of it.
+        // Halved, because a buffer grows by doubling and the connection that sends the body buffers part of it.
         let limit = machine_bytes.saturating_sub(RESERVED_BYTES) / 2;
         self.limit.set(limit.max(MIN_LIMIT_BYTES));
     }
 
-    /// Changes this process's share of the limit, 0 to 1.
+    /// Changes this process's share of the limit, from 0 to 1.
     pub fn set_share(&self, share: f64) {
         self.share.set(share);
     }
 
-    /// The part of this process's limit that is in use; 1 where all of it is.
+    /// Fraction of this process's limit that is in use; above 1 if more than the limit is.
     pub fn used_fraction(&self) -> f64 {
         let limit = self.limit.get() as f64 * self.share.get();
         self.in_use.get() as f64 / limit.max(1.0)
     }
 
-    /// This process's part of the limit, in bytes.
+    /// This process's share of the limit, in bytes.
     fn limit_bytes(&self) -> usize {
         (self.limit.get() as f64 * self.share.get()) as usize
     }
 
-    /// Reserves so many bytes, or half of the limit if that is less: one body never takes all. Waits until they are free;
-    /// those who came first are served first. One reservation at a time may be beyond the limit instead, of a quarter of it.
+    /// Reserves `bytes` bytes, or half of the limit if that is less, so that a single body never reserves all memory.
+    /// Waits until they are free; waiting callers are served in order of arrival. If they are not free, one reservation
+    /// at a time may instead exceed the limit, by up to a quarter of it.
     pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
         let _turn = self.reservation_queue.lock().await;
         loop {
@@ -209,13 +212,14 @@
         }
     }
 
-    /// The same without a wait; `None` if they are not free. Those who wait are passed over.
+    /// Like [`BodyMemory::reserve`], but returns `None` instead of waiting or exceeding the limit. May overtake waiting
+    /// callers.
     pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let limit = self.limit_bytes();
         self.reserve_within(bytes.min(limit / 2), limit)
     }
 
-    /// The same for work that can do without: half of the limit is left to others.
+    /// Reserves `bytes` bytes for optional work, or returns `None` if more than half of the limit would then be in use.
     pub fn try_reserve_spare(&self, bytes: usize) -> Option<MemoryReservation> {
         self.reserve_within(bytes, self.limit_bytes() / 2)
     }
@@ -227,7 +231,7 @@
         Some(self.reservation(bytes, false))
     }
 
-    /// Reserves beyond the limit, unless such a reservation is held.
+    /// Reserves memory beyond the limit, unless another reservation holds the overdraft.
     fn overdraw(&self, bytes: usize) -> Option<MemoryReservation> {
         if self.in_use.is_overdrawn.swap(true, Ordering::Relaxed) {
             return None;
@@ -240,13 +244,13 @@
         MemoryReservation { bytes, is_overdraft, usage: self.in_use.clone() }
     }
 
-    /// Receives a body: all of it, or as much as there is memory for, or slightly more than `max_bytes`, or
-    /// what `partial` asks for. The rest stays in the body.
+    /// Receives a body until it ends, the memory is used up, slightly more than `max_bytes` have been received, or
+    /// `partial` permits to return. The remaining bytes stay in `body`.
     ///
     /// # Errors
     ///
-    /// [`BodyError::TooLong`] if the body announces more than [`MAX_BODY_BYTES`], [`BodyError::Broken`] if it
-    /// ends early.
+    /// [`BodyError::TooLong`] if the body's announced length exceeds [`MAX_BODY_BYTES`], [`BodyError::Broken`] if it
+    /// ends early or its framing is invalid.
     pub async fn gather<B: Body<Data = Bytes> + Unpin>(
         &self,
         body: &mut B,
--- a/src/resources/mod.rs
+++ b/src/resources/mod.rs
@@ -1,4 +1,4 @@
-//! The machine's scarce resources: budgets of file descriptors and of memory for bodies.
+//! Budgets of limited resources: file descriptors and memory for bodies.
 
 pub mod descriptors;
 pub mod memory;
