--- a/src/node/guard.rs
+++ b/src/node/guard.rs
@@ -73,14 +73,14 @@
             return Ok(());
         }
         self.counters.held_back.add();
-        let known = match addresses.status(self.node) {
+        let description = match addresses.status(self.node) {
             Some(status) => {
                 let NodeAddress { name, address, state } = status.address;
-                format!("{name} is {state:?} at {address}, heard {:?} ago", status.unchanged_for)
+                format!("{name} is {state:?} at {address}, unchanged for {:?}", status.unchanged_for)
             }
-            None => "it is gone".into(),
+            None => "node is no longer listed".into(),
         };
-        log::info!("node: nothing new to node {} ({stage:?}): {known}", self.node.0);
+        log::info!("node: request not sent, node={} stage={stage:?}: {description}", self.node.0);
         Err(NotSentReason::NodeUnavailable)
     }
 
