--- a/crates/membership/src/address.rs
+++ b/crates/membership/src/address.rs
@@ -1,21 +1,21 @@
-//! An address in 16 bytes, where a `SocketAddr` takes 32: a head keeps two for each node.
+//! A socket address in 16 bytes instead of the 32 of a `SocketAddr`: a head stores two addresses per node.
 
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// The address of a node, if it is known. Any other than IPv4 is boxed.
+/// An optional socket address. Only an IPv4 address is stored inline; others are boxed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum CompactAddress {
-    /// None is known.
+    /// The address is not known.
     #[default]
     Unknown,
-    /// IPv4.
+    /// An IPv4 address.
     V4(SocketAddrV4),
-    /// Any other.
+    /// An address that is not IPv4.
     Boxed(Box<SocketAddr>),
 }
 
 impl CompactAddress {
-    /// The address as the standard library has it.
+    /// The address as a [`SocketAddr`]; `None` if it is not known.
     pub fn get(&self) -> Option<SocketAddr> {
         match self {
             CompactAddress::Unknown => None,
--- a/crates/membership/src/compact.rs
+++ b/crates/membership/src/compact.rs
@@ -1,19 +1,19 @@
-//! A list without a heap allocation for each entry: all names and zones are parts of one text.
+//! A list without heap allocations for its entries: all names and zones are stored in one string.
 
 use crate::list::{EndpointList, Entry, EntryRef, NodeState, UnreadableEntry};
 use std::net::SocketAddr;
 use std::ops::Range;
 
-/// An endpoint list, see [`EndpointList`], that takes little memory.
+/// An [`EndpointList`] in a form that takes less memory.
 #[derive(Clone, Debug, Default)]
 pub struct CompactList {
-    /// The version that the list brings its receiver to.
+    /// See [`EndpointList::version`].
     pub version: u64,
-    /// Whether it names every listed node. Otherwise it contains changes only.
+    /// See [`EndpointList::is_snapshot`].
     pub is_snapshot: bool,
-    /// The entries that could not be read in full. What was known of these nodes stays valid.
+    /// See [`EndpointList::unreadable`].
     pub unreadable: Vec<UnreadableEntry>,
-    /// All names and zones, one after the other.
+    /// All names and zones, concatenated.
     text: String,
     entries: Vec<CompactEntry>,
 }
@@ -29,7 +29,7 @@
 }
 
 impl CompactList {
-    /// Creates a list without entries, with room for `capacity` of them.
+    /// Creates a list without entries that can hold `capacity` entries without reallocating.
     pub(crate) fn with_capacity(version: u64, is_snapshot: bool, capacity: usize) -> CompactList {
         let mut list = CompactList { version, is_snapshot, ..CompactList::default() };
         list.entries.reserve_exact(capacity);
@@ -40,7 +40,7 @@
     pub(crate) fn push(&mut self, entry: EntryRef<'_>) {
         let name = self.append_text(entry.name);
         let zone = match self.last_zone() {
-            // Neighbours are often of the same zone: they share its text.
+            // Successive nodes are often in the same zone: their entries share its name.
             Some(last) if self.text[last.clone()] == *entry.zone => last,
             _ => self.append_text(entry.zone),
         };
@@ -64,17 +64,17 @@
         start..self.text.len()
     }
 
-    /// The number of entries that could be read.
+    /// The number of usable entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry could be read.
+    /// Whether the list has no usable entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The entries that could be read, in the order of the list.
+    /// The usable entries, in the order of the list.
     pub fn entries(&self) -> impl Iterator<Item = EntryRef<'_>> {
         self.entries.iter().map(|entry| EntryRef {
             name: &self.text[entry.name.clone()],
@@ -86,7 +86,7 @@
         })
     }
 
-    /// All names that the list mentions, including those of entries that could not be read.
+    /// The names of all nodes in the list, including those of unreadable entries.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         let readable = self.entries.iter().map(|entry| &self.text[entry.name.clone()]);
         let unreadable = self.unreadable.iter().filter_map(|entry| entry.name.as_deref());
--- a/crates/membership/src/decoder.rs
+++ b/crates/membership/src/decoder.rs
@@ -1,9 +1,9 @@
-//! Decodes a stream of endpoint lists: JSON objects in any layout, one to a line, indented over many lines, or several on
-//! one line.
+//! Decodes a stream of endpoint lists: JSON objects in any layout, one per line, indented over many lines, or several
+//! on one line.
 //!
-//! The decoder does no I/O: bytes are pushed as they arrive, and a list can be taken out as soon as its closing brace has
-//! been pushed. It buffers at most one incomplete object of [`MAX_LIST_BYTES`]. Text that can't be read costs no later
-//! list.
+//! The decoder does no I/O: the caller pushes bytes as they arrive, and a list is decoded as soon as its closing
+//! brace has been pushed. The decoder buffers at most one incomplete object of [`MAX_LIST_BYTES`]. Malformed text
+//! does not prevent later lists from being decoded.
 
 use crate::compact::CompactList;
 use crate::json_scanner::{ObjectScanner, ScanResult};
@@ -13,41 +13,43 @@
 use std::hash::{DefaultHasher, Hasher};
 use thiserror::Error;
 
-/// Longest text of one list, in bytes. 7,100 nodes take some 1.3 MB on one line, and 2.5 MB where each field is on a line
-/// of its own behind sixteen blanks. This limit leaves room for three times as much, and several lists that arrive at
-/// once still fit into a head's memory.
+/// Maximum size of the text of one list, in bytes. A list of 7,100 nodes takes about 1.3 MB on one line, and 2.5 MB
+/// with each field on its own line, indented by 16 spaces. The limit is three times that, and a head still has enough
+/// memory for several lists of this size that arrive at the same time.
 pub const MAX_LIST_BYTES: usize = 8 << 20;
-/// Buffer capacity that is kept between lists, in bytes: a long list's is not kept for the short ones that follow.
+/// Maximum buffer capacity that is kept between lists, in bytes. The larger buffer of a long list is freed, since the
+/// lists that follow are mostly short.
 const RETAINED_CAPACITY: usize = 64 << 10;
 
-/// Why a part of a stream is no list.
+/// Why a part of a stream can't be decoded as a list.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// Its brackets or strings don't match. Decoding goes on at the next line.
+    /// The text has unmatched brackets, an unterminated string, or a missing comma or field name. Decoding continues at
+    /// the next line.
     #[error("byte {offset}: {problem}")]
     Malformed {
         /// Offset in the stream, in bytes.
         offset: u64,
-        /// What is wrong there.
+        /// Description of the syntax error.
         problem: &'static str,
     },
-    /// It is a complete object, but no list.
+    /// The text is a complete JSON object but not a valid list.
     #[error("value at byte {offset}: {source}")]
     NotAList {
         /// Offset of the object in the stream, in bytes.
         offset: u64,
-        /// Why it is no list.
+        /// Why the object can't be parsed as a list.
         source: ListError,
     },
-    /// It is an object of over [`MAX_LIST_BYTES`]. Nothing after it can be read.
-    #[error("value at byte {offset}: over {MAX_LIST_BYTES} bytes")]
+    /// An object exceeds [`MAX_LIST_BYTES`]. Nothing after it can be decoded.
+    #[error("value at byte {offset}: exceeds {MAX_LIST_BYTES} bytes")]
     TooLong {
         /// Offset of the object in the stream, in bytes.
         offset: u64,
     },
 }
 
-/// A hash of a list's text, by which its repetition is recognised.
+/// Hash of the text of a list, to detect that the same list is received again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fingerprint(u64);
 
@@ -59,34 +61,34 @@
     }
 }
 
-/// A decoded object.
+/// The result of decoding one object of the stream.
 #[derive(Debug)]
 pub enum Decoded<L = EndpointList> {
-    /// A list, and the fingerprint of its text.
+    /// A list and the fingerprint of its text.
     List(L, Fingerprint),
-    /// The text of the known fingerprint again. It is not parsed.
+    /// A list whose text has the known fingerprint. It was not parsed.
     KnownList,
 }
 
-/// Decoder of one stream.
+/// Decoder of one stream of lists.
 #[derive(Debug, Default)]
 pub struct ListDecoder {
-    /// The bytes that were pushed and not yet decoded.
+    /// The bytes that were pushed and are not decoded yet.
     buffer: Vec<u8>,
     /// Offset of the buffer's first byte in the stream.
     offset: u64,
     scanner: ObjectScanner,
-    /// The rest of a line that can't be read is skipped.
+    /// Whether to skip the rest of the line because of a syntax error.
     is_skipping_line: bool,
-    /// An error was reported since the last list. Further ones are not: an object over many lines that can't be read is
-    /// one problem.
+    /// Whether an error was returned since the last list. Further errors are suppressed, since a malformed object of
+    /// many lines would otherwise cause an error for each line.
     error_reported: bool,
     known: Option<Fingerprint>,
 }
 
 impl ListDecoder {
-    /// Creates a decoder that stands at the start of a stream. The text of the `known` fingerprint is not parsed again:
-    /// where each answer is a snapshot, a long one that has not changed costs one scan.
+    /// Creates a decoder at the start of a stream. A list whose text has the `known` fingerprint is scanned but not
+    /// parsed: a source may answer every request with a long snapshot that has not changed.
     pub fn new(known: Option<Fingerprint>) -> ListDecoder {
         ListDecoder { known, ..ListDecoder::default() }
     }
@@ -96,17 +98,17 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether an object has begun and not ended.
+    /// Whether the buffer contains an incomplete object.
     pub fn has_incomplete_list(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The version of a snapshot that has begun and not ended, if its first fields have come.
+    /// The version of the incomplete snapshot in the buffer, if its first two fields have arrived.
     pub fn incomplete_snapshot_version(&self) -> Option<u64> {
         if self.is_skipping_line { None } else { list_header::snapshot_version(&self.buffer) }
     }
 
-    /// The next list, with owned entries, or why a part of the stream is none; see [`Self::next_compact`].
+    /// Decodes the next list like [`Self::next_compact`], and converts it to an [`EndpointList`].
     pub fn next_list(&mut self) -> Option<Result<Decoded, DecodeError>> {
         let decoded = self.next_compact()?.map(|decoded| match decoded {
             Decoded::List(list, fingerprint) => Decoded::List(list.into(), fingerprint),
@@ -115,16 +117,17 @@
         Some(decoded)
     }
 
-    /// The next list, or why a part of the stream is none. None until more bytes are pushed.
+    /// Decodes the next list, or returns why a part of the stream can't be decoded. Returns `None` if more bytes are
+    /// needed.
     pub fn next_compact(&mut self) -> Option<Result<Decoded<CompactList>, DecodeError>> {
         loop {
-            self.skip_broken_line();
+            self.skip_malformed_line();
             self.skip_white_space();
             let decoded = match self.scanner.scan(&self.buffer) {
                 ScanResult::Incomplete if self.buffer.len() <= MAX_LIST_BYTES => return None,
-                ScanResult::Incomplete => return Some(Err(self.drop_too_long())),
+                ScanResult::Incomplete => return Some(Err(self.discard_too_long())),
                 ScanResult::Complete(end) => self.decode_front(end),
-                ScanResult::Broken(index, problem) => Err(self.break_line(index, problem)),
+                ScanResult::Malformed(index, problem) => Err(self.on_malformed(index, problem)),
             };
             match decoded {
                 Ok(decoded) => {
@@ -141,46 +144,46 @@
         }
     }
 
-    /// Parses the object that ends at this index of the buffer, and drops its text.
+    /// Parses the object that ends before index `end` of the buffer, and removes its text.
     fn decode_front(&mut self, end: usize) -> Result<Decoded<CompactList>, DecodeError> {
         let text = &self.buffer[..end];
         let fingerprint = Fingerprint::of(text);
         if self.known == Some(fingerprint) {
-            self.drop_front(end);
+            self.discard_front(end);
             return Ok(Decoded::KnownList);
         }
         let parsed = CompactList::parse(text);
         let offset = self.offset;
-        self.drop_front(end);
+        self.discard_front(end);
         match parsed {
             Ok(list) => Ok(Decoded::List(list, fingerprint)),
             Err(source) => Err(DecodeError::NotAList { offset, source }),
         }
     }
 
-    /// The text is broken at this index of the buffer: the rest of the line is to be skipped.
-    fn break_line(&mut self, index: usize, problem: &'static str) -> DecodeError {
+    /// Starts to skip the line with a syntax error at `index` of the buffer, and returns the error.
+    fn on_malformed(&mut self, index: usize, problem: &'static str) -> DecodeError {
         self.is_skipping_line = true;
         self.scanner = ObjectScanner::default();
         DecodeError::Malformed { offset: self.offset + index as u64, problem }
     }
 
-    fn drop_too_long(&mut self) -> DecodeError {
+    fn discard_too_long(&mut self) -> DecodeError {
         let offset = self.offset;
-        self.drop_front(self.buffer.len());
+        self.discard_front(self.buffer.len());
         DecodeError::TooLong { offset }
     }
 
-    fn skip_broken_line(&mut self) {
+    fn skip_malformed_line(&mut self) {
         if !self.is_skipping_line {
             return;
         }
         match self.buffer.iter().position(|byte| *byte == b'\n') {
             Some(line_end) => {
                 self.is_skipping_line = false;
-                self.drop_front(line_end + 1);
+                self.discard_front(line_end + 1);
             }
-            None => self.drop_front(self.buffer.len()),
+            None => self.discard_front(self.buffer.len()),
         }
     }
 
@@ -188,11 +191,11 @@
     fn skip_white_space(&mut self) {
         if self.scanner.is_at_start() {
             let blanks = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-            self.drop_front(blanks);
+            self.discard_front(blanks);
         }
     }
 
-    fn drop_front(&mut self, count: usize) {
+    fn discard_front(&mut self, count: usize) {
         self.buffer.drain(..count);
         self.offset += count as u64;
         self.scanner = ObjectScanner::default();
--- a/crates/membership/src/departed_nodes.rs
+++ b/crates/membership/src/departed_nodes.rs
@@ -1,9 +1,9 @@
-//! The names of removed nodes, with the records by which they were removed: an older list must not bring one of them
-//! back. The latest removals are remembered; the oldest are forgotten first.
+//! The removed nodes and the records of their removal: an older list must not add a removed node again. The number of
+//! records is limited; the oldest removals are forgotten first.
 //!
-//! A snapshot says of every departed name that it lacks that the node is still gone by the snapshot's version. That is
-//! noted once for all of them rather than name by name: a record from before the snapshot is read as if the snapshot had
-//! renewed it.
+//! A snapshot confirms that each removed node that it does not contain was still gone at the snapshot's version. The
+//! confirmation is stored once instead of in each record: a record that was written before the snapshot is read with
+//! the snapshot's version.
 
 use crate::record::{ListVersion, StateRecord};
 use std::collections::{BTreeMap, HashMap};
@@ -12,33 +12,33 @@
 #[derive(Debug)]
 struct DepartedNode {
     record: StateRecord,
-    /// The number of snapshots that were counted when the record was last written.
+    /// The value of [`LastSnapshot::count`] when the record was last written.
     written_at_snapshot: u64,
-    /// Its place in the order of removals.
+    /// The key of the node in [`DepartedNodes::order`].
     sequence: u64,
 }
 
-/// The last snapshot.
+/// The last snapshot, which confirms earlier removals.
 #[derive(Clone, Copy, Debug, Default)]
 struct LastSnapshot {
-    /// The number of snapshots up to this one.
+    /// The number of snapshots so far, including this one.
     count: u64,
     version: ListVersion,
     received_at: f64,
 }
 
-/// The names of removed nodes.
+/// The removed nodes, in the order of their removal.
 #[derive(Debug, Default)]
 pub(crate) struct DepartedNodes {
     nodes: HashMap<Rc<str>, DepartedNode>,
-    /// The names by sequence number, oldest removal first.
+    /// The names by sequence number, with the oldest removal first.
     order: BTreeMap<u64, Rc<str>>,
     next_sequence: u64,
     last_snapshot: LastSnapshot,
 }
 
 impl DepartedNodes {
-    /// The record of a departed name.
+    /// The record of a removed node; `None` if no removal of this name is known.
     pub(crate) fn get(&self, name: &str) -> Option<StateRecord> {
         self.nodes.get(name).map(|node| self.current_record(node))
     }
@@ -59,21 +59,21 @@
         self.nodes.contains_key(name)
     }
 
-    /// Notes that a departed name is in the snapshot for which [`Self::begin_snapshot`] is called next, so that the
-    /// snapshot does not renew the name's record.
+    /// Excludes a removed node from the confirmation by the snapshot for which [`Self::begin_snapshot`] is called next,
+    /// because the snapshot contains the node.
     pub(crate) fn exempt_from_next_snapshot(&mut self, name: &str) {
         if let Some(record) = self.get(name) {
             self.write(name, record, self.last_snapshot.count + 1);
         }
     }
 
-    /// Renews all records but those exempt from this snapshot.
+    /// Confirms all records with the snapshot, except for those excluded by [`Self::exempt_from_next_snapshot`].
     pub(crate) fn begin_snapshot(&mut self, version: ListVersion, received_at: f64) {
         let count = self.last_snapshot.count + 1;
         self.last_snapshot = LastSnapshot { count, version, received_at };
     }
 
-    /// Replaces the record of a departed name.
+    /// Replaces the record of a removed node.
     pub(crate) fn update(&mut self, name: &str, record: StateRecord) {
         self.write(name, record, self.last_snapshot.count);
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Adds a name, and forgets the oldest of more than `capacity` names.
+    /// Adds a removed node. If there are more than `capacity`, forgets the oldest removals.
     pub(crate) fn insert(&mut self, name: Rc<str>, record: StateRecord, capacity: usize) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Removes a name that is listed again.
+    /// Deletes the record of a node that is listed again, and returns its name.
     pub(crate) fn remove(&mut self, name: &str) -> Option<Rc<str>> {
         let node = self.nodes.remove(name)?;
         self.order.remove(&node.sequence)
--- a/crates/membership/src/json_scanner.rs
+++ b/crates/membership/src/json_scanner.rs
@@ -1,27 +1,28 @@
-//! Finds the end of a JSON object in text that comes in pieces, without parsing it. The scanner checks only what it needs
-//! to find the end and to notice early that the text is broken: brackets, strings, and the order of names and values.
+//! Finds the end of a JSON object in text that arrives in pieces, without parsing the object. The scanner checks only
+//! what is needed to find the end and to detect malformed text early: brackets, strings, and the order of names and
+//! values.
 
 /// The result of a scan.
 pub(crate) enum ScanResult {
-    /// The object ends before the byte of this index.
+    /// The object ends before the byte at this index.
     Complete(usize),
-    /// The text is broken at the byte of this index.
-    Broken(usize, &'static str),
-    /// The object goes on past the end of the text.
+    /// The text has this syntax error at the byte at this index.
+    Malformed(usize, &'static str),
+    /// The object does not end within the text.
     Incomplete,
 }
 
-/// Scanner state. It is kept between calls so that no byte is looked at twice.
+/// Scanner of one object. Its state is kept between calls, so that each byte is scanned only once.
 #[derive(Debug, Default)]
 pub(crate) struct ObjectScanner {
-    /// How many bytes of the text have been scanned.
+    /// The number of bytes scanned so far.
     scanned: usize,
     /// The opening brackets that are not closed yet.
     open_brackets: Vec<u8>,
     position: Position,
-    /// A value has ended inside the innermost bracket: only a comma or the closing bracket may follow.
+    /// Whether a value has just ended inside the innermost brackets: only a comma or the closing bracket may follow.
     after_value: bool,
-    /// A name and its colon have come inside the innermost object.
+    /// Whether a colon was scanned inside the innermost object, so that a value may follow.
     after_colon: bool,
 }
 
@@ -36,12 +37,12 @@
 }
 
 impl ObjectScanner {
-    /// Whether no byte was scanned yet.
+    /// Whether no byte has been scanned yet.
     pub(crate) fn is_at_start(&self) -> bool {
         self.scanned == 0
     }
 
-    /// Goes on from where the last call ended. `text` has to begin with the same bytes as then.
+    /// Continues the scan after the last scanned byte. `text` has to begin with the bytes scanned so far.
     pub(crate) fn scan(&mut self, text: &[u8]) -> ScanResult {
         while let Some(byte) = text.get(self.scanned) {
             if self.position == Position::InString && !is_special_in_string(*byte) {
@@ -49,7 +50,7 @@
                 continue;
             }
             if let Err(problem) = self.scan_byte(*byte) {
-                return ScanResult::Broken(self.scanned, problem);
+                return ScanResult::Malformed(self.scanned, problem);
             }
             self.scanned += 1;
             if self.open_brackets.is_empty() {
@@ -59,7 +60,7 @@
         ScanResult::Incomplete
     }
 
-    /// Skips the bytes of a string up to its next special one.
+    /// Skips the bytes of a string up to the next quote, backslash or control character.
     fn skip_plain_text(&mut self, text: &[u8]) {
         let special = text[self.scanned..].iter().position(|byte| is_special_in_string(*byte));
         self.scanned = special.map_or(text.len(), |length| self.scanned + length);
@@ -83,7 +84,7 @@
                 self.position = Position::OutsideString;
                 self.after_value = true;
             }
-            ..0x20 => return Err("a string that does not end"),
+            ..0x20 => return Err("unterminated string"),
             _ => {}
         }
         Ok(())
@@ -92,8 +93,8 @@
     fn scan_outside_string(&mut self, byte: u8) -> Result<(), &'static str> {
         match byte {
             b' ' | b'\t' | b'\r' | b'\n' => {}
-            _ if self.open_brackets.is_empty() && byte != b'{' => return Err("no object"),
-            b'{' | b'[' | b'"' if self.after_value => return Err("a comma is missing"),
+            _ if self.open_brackets.is_empty() && byte != b'{' => return Err("expected an object"),
+            b'{' | b'[' | b'"' if self.after_value => return Err("missing comma"),
             b'{' | b'[' => self.open_bracket(byte)?,
             b'"' => self.position = Position::InString,
             b'}' | b']' => self.close_bracket(byte)?,
@@ -108,7 +109,7 @@
 
     fn open_bracket(&mut self, bracket: u8) -> Result<(), &'static str> {
         if self.open_brackets.last() == Some(&b'{') && !self.after_colon {
-            return Err("a name is missing");
+            return Err("missing field name");
         }
         self.open_brackets.push(bracket);
         self.after_colon = false;
@@ -118,14 +119,14 @@
     fn close_bracket(&mut self, bracket: u8) -> Result<(), &'static str> {
         let opening = if bracket == b'}' { b'{' } else { b'[' };
         if self.open_brackets.pop() != Some(opening) {
-            return Err("brackets that do not fit");
+            return Err("mismatched brackets");
         }
         self.after_value = true;
         Ok(())
     }
 }
 
-/// Whether this byte has a meaning of its own inside a string.
+/// Whether this byte ends a string, begins an escape, or is a control character, which is not allowed in a string.
 fn is_special_in_string(byte: u8) -> bool {
     matches!(byte, b'"' | b'\\' | ..0x20)
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,17 @@
 //! Endpoint membership: which storage nodes are listed, and in which state, given the lists that a head receives.
 //!
-//! Lists come as snapshots (complete lists) or as changes, from sources that may be behind each other or may have
-//! restarted their version count, and not always in order. All rules serve one guarantee: a node that was reported as
-//! draining or gone takes requests again only after a later start of that node, or by a newer record, never because of
-//! an older list. Time is an argument, in seconds of Unix time. The crate uses no clock, file or socket.
+//! A list is a snapshot (complete list) or contains only changes. Lists may arrive out of order, from several
+//! sources: a source may lag behind another one or may have restarted its version count. All rules serve one
+//! guarantee: a node that was reported as draining or gone accepts requests again only after a later start of that
+//! node or by a newer record, never because of an older list. Callers pass the current time in seconds of Unix time.
+//! The crate uses no clock, file or socket.
 //!
-//! The way of a list through the modules:
-//! 1. [`decoder`] cuts a byte stream into JSON values, and [`wire`] parses each into a [`compact::CompactList`].
-//! 2. [`Membership::apply`] compares the list with what is known and returns the [`NodeChange`]s.
+//! A list is processed in two steps:
+//! 1. [`decoder`] splits a byte stream into JSON objects, and [`wire`] parses each into a [`compact::CompactList`].
+//! 2. [`Membership::apply`] compares the list with the known nodes and returns the [`NodeChange`]s.
 //!
-//! The cost of a list is linear in its length once, to parse it, and for a snapshot once more, to find the nodes that it
-//! lacks. After that only the changes count. Each listed node is one compact record: [`Membership`] is made for
+//! Parsing a list takes time linear in its length, and so does finding the nodes that are missing from a snapshot. All
+//! further work is proportional to the number of changes. Each listed node is one compact record, since a list may have
 //! thousands of nodes.
 
 pub mod address;
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -1,4 +1,4 @@
-//! An endpoint list after parsing: its entries, and the entries that could not be read.
+//! A parsed endpoint list: its entries, and the problems of entries that are invalid.
 
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -6,33 +6,33 @@
 /// Whether a node accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// It accepts requests.
+    /// The node accepts requests.
     Ready,
-    /// It finishes the requests it has and must get no more.
+    /// The node completes its current requests and must not be sent new ones.
     Draining,
-    /// It was removed.
+    /// The node was removed.
     Gone,
 }
 
-/// One entry of a list.
+/// The entry of one node in a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The node's name, which is the same at all heads.
+    /// The node's name, which is the same on all heads.
     pub name: String,
-    /// The node's address as seen from this head. None only for a node that is not ready and whose address is missing
-    /// or can't be read.
+    /// The address at which this head reaches the node. `None` only for a node that is not ready and whose address is
+    /// missing or invalid.
     pub address: Option<SocketAddr>,
-    /// Its zone; empty if the deployment has no zones.
+    /// The name of the zone; empty if the deployment has no zones.
     pub zone: String,
-    /// The shard that it holds. None only for a node that is not ready and whose shard is missing or can't be read.
+    /// The shard that the node stores. `None` only for a node that is not ready and whose shard is missing or invalid.
     pub shard: Option<u32>,
-    /// Whether it accepts requests.
+    /// Whether the node accepts requests.
     pub state: NodeState,
-    /// Its last start, in seconds of Unix time; 0 if unknown or long ago.
+    /// When the node last started, in seconds of Unix time; 0 if unknown or long ago.
     pub started_at: f64,
 }
 
-/// An [`Entry`] whose texts are borrowed.
+/// An [`Entry`] with borrowed strings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EntryRef<'a> {
     /// See [`Entry::name`].
@@ -75,53 +75,53 @@
     }
 }
 
-/// An endpoint list: a snapshot, or the changes up to a version.
+/// An endpoint list: a snapshot, or the changes that lead to its version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// The version that the list brings its receiver to.
+    /// The version that a receiver has reached after it has applied the list.
     pub version: u64,
-    /// Whether it names every listed node. Otherwise it contains changes only.
+    /// Whether the list contains every listed node. Otherwise it contains only changes.
     pub is_snapshot: bool,
-    /// The entries that could be read.
+    /// The usable entries.
     pub entries: Vec<Entry>,
-    /// The entries that could not be read in full. What was known of these nodes stays valid.
+    /// The problems of entries with invalid fields. The known values of these fields stay valid.
     pub unreadable: Vec<UnreadableEntry>,
 }
 
-/// An entry that can't be read, or can't be read in full.
+/// A problem of an entry that is invalid as a whole or in one of its fields.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("entry {index} ({}): {problem}", name.as_deref().unwrap_or("no name"))]
 pub struct UnreadableEntry {
-    /// Its index in the list, from 0.
+    /// The index of the entry in the list, from 0.
     pub index: usize,
-    /// The node's name, if that can be read.
+    /// The node's name, if it is valid.
     pub name: Option<String>,
-    /// What is wrong with it.
+    /// Why the entry or the field is invalid.
     #[source]
     pub problem: EntryProblem,
 }
 
-/// What is wrong with an entry.
+/// Why an entry or one of its fields is invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum EntryProblem {
-    /// It names no node.
-    #[error("uid is missing or no text")]
+    /// The entry has no valid node name.
+    #[error("uid is missing, empty or not a string")]
     NameMissing,
-    /// It has no state.
+    /// The entry has no state.
     #[error("state is missing")]
     StateMissing,
-    /// It has a state that this program doesn't know.
-    #[error("unknown state {0}, taken as draining")]
+    /// The entry has an unknown state, for example one of a later protocol version.
+    #[error("unknown state {0}, treated as draining")]
     StateUnknown(serde_json::Value),
-    /// A field has a value that is not valid there.
+    /// A field has an invalid value.
     #[error("{field}: {value}")]
     InvalidField {
-        /// The field's name in the list.
+        /// The field's name in the JSON object.
         field: &'static str,
-        /// Its value; null if the field is missing and must not be.
+        /// The field's value; null if the field is required and missing.
         value: serde_json::Value,
     },
-    /// It is no valid JSON. Contains the parser's message.
+    /// The entry is not valid JSON. Contains the parser's error message.
     #[error("{0}")]
     Malformed(String),
 }
--- a/crates/membership/src/list_header.rs
+++ b/crates/membership/src/list_header.rs
@@ -1,30 +1,30 @@
-//! The first fields of a list that is still being received: they tell whether it can bring anything new before the rest
-//! of it has come.
+//! Parses the first two fields of a list that is still being received, so that a snapshot of the known version can be
+//! detected before the rest has arrived.
 
-/// The longest header that is read, in bytes: two short fields, in any layout.
+/// Number of bytes from the start of a list that are searched for its first two fields, with any white space between.
 const MAX_HEADER_BYTES: usize = 256;
 const VERSION: &[u8] = b"rev";
 const IS_SNAPSHOT: &[u8] = b"all";
 
-/// A field of a JSON object whose value is a number or a literal.
+/// A field of a JSON object whose value is a number or a literal, as unparsed bytes.
 struct Field<'a> {
     name: &'a [u8],
     value: &'a [u8],
 }
 
-/// Reads fields from the front of a JSON object that may end anywhere.
+/// Reads fields from the start of a JSON object that may be truncated at any byte.
 struct FieldScanner<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> FieldScanner<'a> {
-    /// Skips white space and then this byte; none if another byte follows.
+    /// Skips white space and then `byte`. Returns `None` if the next byte is another one.
     fn skip(&mut self, byte: u8) -> Option<()> {
         self.rest = self.rest.trim_ascii_start().strip_prefix(&[byte])?;
         Some(())
     }
 
-    /// The bytes before the next `end`, which is skipped. None if it has not come yet.
+    /// Returns the bytes before the next `end` and skips both. Returns `None` if there is no `end`.
     fn take_until(&mut self, end: u8) -> Option<&'a [u8]> {
         let length = self.rest.iter().position(|byte| *byte == end)?;
         let taken = &self.rest[..length];
@@ -32,7 +32,7 @@
         Some(taken)
     }
 
-    /// The next field. It has to be followed by a comma: a number that is not may still be incomplete.
+    /// Reads the next field. Returns `None` unless a comma follows: without one, a number may still be incomplete.
     fn field(&mut self) -> Option<Field<'a>> {
         self.skip(b'"')?;
         let name = self.take_until(b'"')?;
@@ -42,8 +42,8 @@
     }
 }
 
-/// The version of the snapshot whose text begins with `text`. None for a list of changes, if the version and the
-/// snapshot flag are not the first two fields, or if too little has come yet.
+/// Returns the version of the snapshot whose text begins with `text`. Returns `None` for a list of changes, if the
+/// version and the snapshot flag are not the first two fields, or if these fields are not complete yet.
 pub(crate) fn snapshot_version(text: &[u8]) -> Option<u64> {
     let mut scanner = FieldScanner { rest: &text[..text.len().min(MAX_HEADER_BYTES)] };
     scanner.skip(b'{')?;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The listed nodes, and how a list changes them.
+//! The set of listed nodes, and the application of lists to it.
 
 use crate::change::{EntryChange, ListedNode, NodeChange};
 use crate::compact::CompactList;
@@ -10,29 +10,29 @@
 use crate::zones::Zones;
 use std::rc::Rc;
 
-/// The names of removed nodes are remembered up to this multiple of the longest list that was known, latest first: a
-/// source that is behind still names nodes that were removed lately.
+/// Limit on the number of removed nodes that are remembered, as a multiple of the most nodes that were listed at
+/// once. A source that is behind may still list nodes that were removed recently.
 pub const DEPARTED_FACTOR: usize = 4;
-/// At least this many names of removed nodes are remembered.
+/// Lower bound of the limit on the number of removed nodes that are remembered.
 pub const MIN_DEPARTED: usize = 4096;
 
-/// All nodes in their valid state, as derived from all lists that were received.
+/// The valid records of all listed and recently removed nodes, derived from all lists received so far.
 #[derive(Debug, Default)]
 pub struct Membership {
     nodes: NodeTable,
     departed: DepartedNodes,
     zones: Zones,
     next_id: u32,
-    /// The most nodes that were ever listed at once.
+    /// The highest number of nodes that were listed at the same time.
     longest_list: usize,
-    /// The newest version received.
+    /// The newest version received so far.
     newest: ListVersion,
-    /// The version of the last snapshot that was not behind: a node that it lacked was gone by then, if it had been
-    /// listed at all.
+    /// The version of the last snapshot that was not behind the known version. A node that this snapshot does not
+    /// contain was not listed at its version.
     last_snapshot: Option<ListVersion>,
 }
 
-/// Whether entries that repeat what is known are reported.
+/// Whether to return a change for an entry that is equal to the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Unchanged {
     Report,
@@ -40,7 +40,7 @@
 }
 
 impl Membership {
-    /// Creates a membership without nodes. `zones` get the first zone numbers, in their order.
+    /// Creates a membership without nodes, and assigns the lowest zone numbers to `zones`, in this order.
     pub fn with_zones(zones: &[String]) -> Membership {
         let mut membership = Membership::default();
         for zone in zones {
@@ -49,12 +49,12 @@
         membership
     }
 
-    /// The newest version received since the version count last restarted.
+    /// The newest version received since the last restart of the version count.
     pub fn version(&self) -> u64 {
         self.newest.version
     }
 
-    /// Whether a node of this name is listed, or was removed lately.
+    /// Whether a node of this name is listed or was removed recently.
     pub fn knows(&self, name: &str) -> bool {
         self.nodes.find(name).is_some() || self.departed.contains(name)
     }
@@ -85,14 +85,15 @@
         self.nodes.iter().map(|(_, node)| ListedNode::from(node))
     }
 
-    /// Applies a list received at `now` and returns the nodes that it changes: first those that a snapshot lacks, in the
-    /// order of their names, then those of the list in its order. An entry that repeats what is known is no change.
+    /// Applies a list received at `now` and returns the changes: first the removals of nodes that a snapshot does not
+    /// contain, sorted by name, then the changes by the list's entries, in their order. An entry that is equal to the
+    /// known one causes no change.
     pub fn apply(&mut self, list: &CompactList, source: &mut SourceCursor, now: f64) -> Vec<NodeChange> {
         self.apply_list(list, source, now, Unchanged::Omit)
     }
 
-    /// Applies a list like [`Self::apply`] and returns the valid entries, including those that repeat what is known: a
-    /// receiver that they are sent on to may not know them yet.
+    /// Applies a list like [`Self::apply`], but also returns the entries that are equal to the known ones: a receiver
+    /// to which a relay forwards them may not know them yet.
     pub fn apply_named(
         &mut self,
         list: EndpointList,
@@ -130,7 +131,8 @@
         let version = ListVersion { epoch: self.newest.epoch, version: list.version };
         source.advance(list.version, version.is_older_than(self.newest), now);
         let mut changes = Vec::new();
-        // Nodes that a snapshot lacks are gone only if the snapshot is not behind.
+        // A node that is missing from a snapshot was removed, unless the snapshot is behind and the node was added
+        // later.
         if list.is_snapshot && !source.is_behind() {
             self.remove_unlisted(list, version, now, &mut changes);
             self.last_snapshot = Some(version);
@@ -144,14 +146,14 @@
         changes
     }
 
-    /// The version count has restarted: versions from now on can't be compared with those before.
+    /// Starts a new epoch after a restart of the version count: later versions can't be compared with earlier ones.
     fn begin_epoch(&mut self, version: u64) {
         self.newest = ListVersion { epoch: self.newest.epoch + 1, version };
         self.last_snapshot = None;
     }
 
-    /// Removes the nodes that a snapshot lacks. What was removed before and is still lacking is gone by the snapshot's
-    /// version.
+    /// Removes the nodes that a snapshot does not contain, and confirms earlier removals of nodes that it does not
+    /// contain with its version.
     fn remove_unlisted(
         &mut self,
         list: &CompactList,
@@ -201,17 +203,17 @@
         }
     }
 
-    /// Whether an entry counts, given the record that is known of its node.
+    /// Whether to apply an entry, given the known record of its node.
     fn is_accepted(&self, entry: &EntryRef<'_>, known: Option<&StateRecord>, version: ListVersion) -> bool {
         match (known, self.last_snapshot) {
             (Some(record), _) => record.is_superseded_by(entry.state, entry.started_at, version),
-            // The last snapshot lacked the node, and says so at a newer version.
+            // The last snapshot did not contain the node, so an entry of an older list is outdated.
             (None, Some(last_snapshot)) => !version.is_older_than(last_snapshot),
             (None, None) => true,
         }
     }
 
-    /// Adds a node that was not listed.
+    /// Adds a node that is not listed yet.
     fn add(&mut self, entry: EntryRef<'_>, zone: u16, record: StateRecord) -> NodeChange {
         let name = self.departed.remove(entry.name).unwrap_or_else(|| entry.name.into());
         let mut node = StoredNode::new(name, self.next_id, record);
@@ -224,9 +226,9 @@
         NodeChange::Updated { node: added, previous_shard: None }
     }
 
-    /// Notes that a node is gone, and returns the change if it was listed.
+    /// Records the removal of a node. Returns a change if the node was listed.
     fn remove(&mut self, name: &str, version: ListVersion, now: f64) -> Option<NodeChange> {
-        // The node that is being removed still counts for the limit.
+        // Determined before the removal, so that the limit includes the removed node.
         let max_departed = self.max_departed();
         if let Some(node) = self.nodes.remove(name) {
             let record = gone_record(Some(&node.record()), version, now);
@@ -240,7 +242,7 @@
         None
     }
 
-    /// The most names of removed nodes to remember.
+    /// The limit on the number of removed nodes that are remembered.
     fn max_departed(&self) -> usize {
         MIN_DEPARTED.max(DEPARTED_FACTOR * self.longest_list.max(self.nodes.len()))
     }
@@ -250,7 +252,8 @@
     StateRecord::replacing(known, NodeState::Gone, 0.0, version, now)
 }
 
-/// Updates a listed node, and returns the change if anything but its record's version is new.
+/// Updates a listed node. Returns a change if a field of the node has changed or `unchanged` is
+/// [`Unchanged::Report`]; a newer version alone is not a change.
 fn update_node(
     node: &mut StoredNode,
     entry: EntryRef<'_>,
--- a/crates/membership/src/node_table.rs
+++ b/crates/membership/src/node_table.rs
@@ -1,5 +1,5 @@
-//! The listed nodes in compact form: one record for each, found by name through a hash index. A node takes 72 bytes
-//! here, its name, and six to twelve bytes of the hash index.
+//! Table of the listed nodes, one compact record per node, with a hash index by name. A node takes 72 bytes for its
+//! record, the bytes of its name, and 6 to 12 bytes in the hash index.
 
 use crate::address::CompactAddress;
 use crate::change::ListedNode;
@@ -13,12 +13,12 @@
 /// Index of a node's record in the table.
 pub(crate) type NodeIndex = usize;
 
-/// The table grows by this fraction of its length at a time: doubling would leave up to half of it unused.
+/// A full table grows by its length divided by this: doubling would leave up to half of the memory unused.
 const GROWTH_DIVISOR: usize = 8;
-/// But by at least this many records, so that a short table is not copied for every node.
+/// Minimum number of records by which the table grows, so that a short table is not copied for every new node.
 const MIN_GROWTH: usize = 16;
 
-/// A listed node. It has the fields of [`StateRecord`] rather than the struct itself, so that they pack.
+/// A listed node. The fields of its [`StateRecord`] are stored individually, to avoid the padding of a nested struct.
 #[derive(Debug)]
 pub(crate) struct StoredNode {
     pub(crate) name: Rc<str>,
@@ -28,7 +28,7 @@
     version: u64,
     epoch: u32,
     pub(crate) shard: u32,
-    /// The node's number in this process.
+    /// See [`ListedNode::id`].
     pub(crate) id: u32,
     pub(crate) zone: u16,
     pub(crate) state: NodeState,
@@ -88,11 +88,11 @@
     }
 }
 
-/// All listed nodes.
+/// The listed nodes, with an index by name.
 #[derive(Debug, Default)]
 pub(crate) struct NodeTable {
     nodes: Slab<StoredNode>,
-    /// The index of each node, hashed by its name.
+    /// Indices into `nodes`, hashed by the names of the nodes.
     by_name: HashTable<u32>,
     hasher: RandomState,
 }
@@ -102,7 +102,7 @@
         self.nodes.len()
     }
 
-    /// One past the highest index in use.
+    /// The highest index in use plus 1; 0 if the table is empty.
     pub(crate) fn index_bound(&self) -> usize {
         self.nodes.iter().next_back().map_or(0, |(index, _)| index + 1)
     }
@@ -121,7 +121,7 @@
         self.nodes.get_mut(index)
     }
 
-    /// Adds a node. Its name must not be listed yet.
+    /// Adds a node. The table must not contain its name yet.
     pub(crate) fn insert(&mut self, node: StoredNode) {
         if self.nodes.len() == self.nodes.capacity() {
             self.nodes.reserve_exact(self.nodes.len() / GROWTH_DIVISOR + MIN_GROWTH);
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,40 +1,40 @@
-//! Which of two records about the same node is valid.
+//! Decides which of two records of the same node is valid.
 
 use crate::list::NodeState;
 
-/// The version of a list, and how often the version count had restarted before it.
+/// The version of a list. Versions are comparable only while the version count does not restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ListVersion {
-    /// How often the version count was seen to restart.
+    /// How many restarts of the version count were detected before this version.
     pub(crate) epoch: u32,
     pub(crate) version: u64,
 }
 
 impl ListVersion {
-    /// Whether this version is known to be newer. Versions of different epochs can't be compared, unless the later
-    /// epoch has passed the version at which the earlier one ended.
+    /// Whether this version is known to be newer than `other`. A version of a later epoch is known to be newer only
+    /// if its number is also higher; otherwise versions of different epochs can't be compared.
     pub(crate) fn is_newer_than(self, other: ListVersion) -> bool {
         self.epoch >= other.epoch && self.version > other.version
     }
 
-    /// Whether this version is known to be older.
+    /// Whether this version is known to be older than `other`.
     pub(crate) fn is_older_than(self, other: ListVersion) -> bool {
         self.epoch == other.epoch && self.version < other.version
     }
 }
 
-/// The valid record about a node: its state and last start, the version by which they are known, and when they were
-/// received.
+/// The valid record of a node: its state, its last start, the version of the list that reported them, and when that
+/// list was received.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StateRecord {
     pub(crate) state: NodeState,
-    /// The node's last start, in seconds of Unix time; 0 if unknown.
+    /// When the node last started, in seconds of Unix time; 0 if unknown.
     pub(crate) started_at: f64,
     pub(crate) version: ListVersion,
     /// When the record was received, in seconds of Unix time.
     pub(crate) received_at: f64,
-    /// The node leaves by a list that is older than `version`, the version by which it was last ready. A list that is
-    /// as new as `version` and has the node ready ends the drain.
+    /// Whether the drain or removal was reported by a list that is older than `version`, the version of the newest list
+    /// that reported the node as ready. A list of `version` or later that reports the node as ready ends the drain.
     pub(crate) is_tentative: bool,
 }
 
@@ -54,8 +54,8 @@
         if state == NodeState::Ready {
             return received;
         }
-        // A drain may come without the start of the node that drains, and one of an older list must not make it easier
-        // to end the drain: the newer start and the newer version are kept.
+        // The entry of a draining node may lack its start time, and an entry of an older list must not allow an older
+        // record to end the drain. So the later start and the newer version are kept.
         let is_older = version.is_older_than(known.version);
         StateRecord {
             started_at: started_at.max(known.started_at),
@@ -65,11 +65,11 @@
         }
     }
 
-    /// Whether a received entry replaces this record. This is the one place where it is decided which of two records
-    /// about a node is valid.
+    /// Whether a received entry replaces this record. All decisions between two records of a node are made here.
     pub(crate) fn is_superseded_by(&self, state: NodeState, started_at: f64, version: ListVersion) -> bool {
         let is_older = version.is_older_than(self.version);
-        // A start later than the known one counts in any list, unless an older list can't have known of it.
+        // A later start is accepted, except from an older list that reports a start from before this record was
+        // received: the source of this record already knew of that start.
         let restarted = started_at > self.started_at && (!is_older || started_at > self.received_at);
         if restarted {
             return true;
@@ -80,7 +80,8 @@
                 version.is_newer_than(self.version) || self.is_tentative && !is_older
             }
             (NodeState::Draining, NodeState::Gone) => !is_older,
-            // A drain or a removal counts whoever reports it, unless it is known to be of an earlier run of the node.
+            // A drain or a removal is accepted from any source, unless it is known to refer to an earlier run of the
+            // node.
             (NodeState::Draining | NodeState::Gone, _) => {
                 let is_of_earlier_run = is_older && started_at > 0.0 && started_at < self.started_at;
                 !is_of_earlier_run
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,11 +1,10 @@
 //! The position of one source of endpoint lists.
 
-/// Time for which a source has to be behind the known version before its versions are taken to have restarted, in
-/// seconds. Discovery's changes have to be in force 6 s after they were made, so a source that is merely late has caught
-/// up by then.
+/// How long a source has to be behind the known version, in seconds, until its version count is considered restarted.
+/// Every change has to take effect at the heads within 6 s, so a source that only lags has caught up by then.
 pub const REWIND_AFTER_S: f64 = 5.0;
 
-/// Position of one source of lists: the version it has reached, and since when that is behind the known version.
+/// The version of the last list from one source, and since when that version has been behind the known one.
 #[derive(Debug, Default)]
 pub struct SourceCursor {
     version: u64,
@@ -13,12 +12,12 @@
 }
 
 impl SourceCursor {
-    /// Creates the cursor of a source that is taken to have sent everything up to `version`.
+    /// Creates the cursor of a source whose changes up to `version` are known.
     pub fn at(version: u64) -> SourceCursor {
         SourceCursor { version, behind_since: None }
     }
 
-    /// The version of the source's last list, after which changes are to be watched.
+    /// The version of the source's last list. A new watch requests the changes after this version.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -28,13 +27,13 @@
         self.behind_since.is_some()
     }
 
-    /// Whether the source has been behind for so long (see [`REWIND_AFTER_S`]) that its version count must have
-    /// restarted. Its next snapshot is then accepted although its version is lower than the known one.
+    /// Whether the source has been behind for [`REWIND_AFTER_S`], so that its version count must have restarted. Its
+    /// next snapshot is then accepted although its version is lower than the known one.
     pub fn has_rewound(&self, now: f64) -> bool {
         self.behind_since.is_some_and(|since| now - since >= REWIND_AFTER_S)
     }
 
-    /// Moves to the version of a list that was received at `now`.
+    /// Records the version of a list received at `now`, and whether that version is behind the known one.
     pub(crate) fn advance(&mut self, version: u64, is_behind: bool, now: f64) {
         self.version = version;
         self.behind_since = match self.behind_since {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,9 +1,10 @@
-//! Parsers of discovery's JSON form of a list. This module is the only one, beside `list_header`, that knows
-//! the field names of the wire.
+//! Parser of the JSON format of endpoint lists. Only this module and `list_header` depend on the field names of that
+//! format.
 //!
-//! A list is parsed entry by entry, so that an entry that can't be read costs no other entry. An entry in the expected
-//! form is parsed by its types (`WireEntry`); any other is read field by field (`FieldReader`) to use what can be
-//! used of it, above all a drain.
+//! Entries are parsed one by one, so that an invalid entry does not affect the others. An entry in the expected
+//! format is deserialized as a whole (`WireEntry`). Any other entry is read field by field (`FieldReader`), since its
+//! valid fields can still be used: in particular, a node may be draining although another field of its entry is
+//! invalid.
 
 use crate::compact::CompactList;
 use crate::list::{EndpointList, Entry, EntryProblem, EntryRef, NodeState, UnreadableEntry};
@@ -21,29 +22,29 @@
 const STATE: &str = "state";
 const STARTED_AT_MS: &str = "boot_ms";
 
-/// The shard of a ready node whose entry names none.
+/// The shard of a ready node whose entry does not contain a shard.
 const DEFAULT_SHARD: u32 = 0;
 
-/// A list of which nothing can be used.
+/// The error for a list without any usable entry.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// It is no JSON object of the expected form.
+    /// The list is not a JSON object of the expected format.
     #[error("list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It has entries, and none of them can be read.
+    /// The list has entries, but all of them are invalid.
     #[error("list: version {version}, none of {count} entries can be read, the first: {first}")]
     NoReadableEntry {
         /// The list's version.
         version: u64,
-        /// The number of its entries.
+        /// The number of entries.
         count: usize,
-        /// What is wrong with the first one.
+        /// The first invalid entry and its problem.
         #[source]
         first: UnreadableEntry,
     },
 }
 
-/// The JSON object of a list, with its entries unparsed.
+/// The JSON object of a list, with unparsed entries.
 #[derive(Deserialize)]
 struct WireList<'a> {
     rev: u64,
@@ -53,7 +54,7 @@
     targets: Vec<&'a RawValue>,
 }
 
-/// [`WireList`] as a part of a document that is parsed already.
+/// A [`WireList`] that is a part of a JSON document that was parsed before.
 #[derive(Deserialize)]
 struct WireListValue {
     rev: u64,
@@ -62,11 +63,11 @@
     targets: Vec<Value>,
 }
 
-/// A JSON string that is copied only if it contains escapes.
+/// A JSON string, borrowed from the input unless it contains escapes.
 #[derive(Deserialize)]
 struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
 
-/// An entry in the expected form.
+/// An entry in the expected format.
 #[derive(Deserialize)]
 struct WireEntry<'a> {
     #[serde(borrow)]
@@ -84,7 +85,7 @@
 }
 
 impl WireEntry<'_> {
-    /// The entry, if every field is valid. Otherwise the fields have to be judged one by one, see [`FieldReader`].
+    /// Returns the entry if every field is valid. Otherwise [`FieldReader`] has to read the fields one by one.
     fn validated(&self) -> Option<EntryRef<'_>> {
         let state = parse_state(&self.state)?;
         let address = match &self.endpoint {
@@ -111,7 +112,7 @@
     /// Parses the text of a list.
     ///
     /// # Errors
-    /// Fails if the text is no list, or if it has entries and none can be read.
+    /// Fails if the text is not a list, or if the list has entries and all of them are invalid.
     pub fn parse(text: &[u8]) -> Result<CompactList, ListError> {
         let wire: WireList<'_> = serde_json::from_slice(text)?;
         let mut list = CompactList::with_capacity(wire.rev, wire.all, wire.targets.len());
@@ -133,15 +134,15 @@
     /// Parses the text of a list.
     ///
     /// # Errors
-    /// Fails if the text is no list, or if it has entries and none can be read.
+    /// Fails if the text is not a list, or if the list has entries and all of them are invalid.
     pub fn parse(text: &[u8]) -> Result<EndpointList, ListError> {
         CompactList::parse(text).map(EndpointList::from)
     }
 
-    /// Reads a list that is a part of a larger document.
+    /// Converts a list that is a part of a larger, parsed document.
     ///
     /// # Errors
-    /// Fails if the value is no list, or if it has entries and none can be read.
+    /// Fails if the value is not a list, or if the list has entries and all of them are invalid.
     pub fn from_value(value: Value) -> Result<EndpointList, ListError> {
         let wire: WireListValue = serde_json::from_value(value)?;
         let mut entries = Vec::new();
@@ -160,7 +161,7 @@
     }
 }
 
-/// Parses an entry and appends it to the list, or to the list's unreadable entries.
+/// Parses an entry and appends it to the list. Records its problems in the list's unreadable entries.
 fn parse_entry(index: usize, value: &RawValue, list: &mut CompactList) {
     if let Ok(wire) = serde_json::from_str::<WireEntry<'_>>(value.get())
         && let Some(entry) = wire.validated()
@@ -180,16 +181,17 @@
     }
 }
 
-/// Reads one entry field by field, and notes in `unreadable` what can't be read.
+/// Reads one entry field by field, and appends its problems to `unreadable`.
 ///
-/// A ready node with an invalid field gives no entry: what was known of it stays valid. A node that leaves, or whose
-/// state is unknown, gives an entry with the fields that can be read: its drain counts whatever else is wrong.
+/// Returns no entry for a ready node with an invalid field: the known record of the node stays valid. For a node that
+/// is draining or gone, or whose state is unknown, returns an entry with the valid fields, since its drain or removal
+/// must not be missed.
 fn read_entry(index: usize, value: &Value, unreadable: &mut Vec<UnreadableEntry>) -> Option<Entry> {
     let name = present_field(value, NAME).and_then(Value::as_str).filter(|name| !name.is_empty());
     let name = name.map(String::from);
     let mut reader = FieldReader { index, value, name: name.clone(), unreadable, all_valid: true };
     let Some(name) = name else {
-        reader.note(EntryProblem::NameMissing);
+        reader.record_problem(EntryProblem::NameMissing);
         return None;
     };
     let state = reader.state()?;
@@ -204,50 +206,50 @@
     if reader.all_valid || state != NodeState::Ready { Some(entry) } else { None }
 }
 
-/// Reads the fields of one entry and notes those that are not valid.
+/// Reads the fields of one entry and records those that are invalid.
 struct FieldReader<'a> {
     index: usize,
     value: &'a Value,
     name: Option<String>,
     unreadable: &'a mut Vec<UnreadableEntry>,
-    /// No field was invalid so far. An unknown state is no invalid field: it counts as draining.
+    /// Whether all fields read so far are valid. An unknown state is not an invalid field: it is treated as draining.
     all_valid: bool,
 }
 
 impl FieldReader<'_> {
-    fn note(&mut self, problem: EntryProblem) {
+    fn record_problem(&mut self, problem: EntryProblem) {
         self.unreadable.push(UnreadableEntry { index: self.index, name: self.name.clone(), problem });
     }
 
-    fn note_invalid(&mut self, field: &'static str, value: &Value) {
+    fn record_invalid_field(&mut self, field: &'static str, value: &Value) {
         self.all_valid = false;
-        self.note(EntryProblem::InvalidField { field, value: value.clone() });
+        self.record_problem(EntryProblem::InvalidField { field, value: value.clone() });
     }
 
-    /// The node's state; none if the entry has none.
+    /// The node's state. `None` if the entry does not contain one.
     fn state(&mut self) -> Option<NodeState> {
         let Some(value) = present_field(self.value, STATE) else {
-            self.note(EntryProblem::StateMissing);
+            self.record_problem(EntryProblem::StateMissing);
             return None;
         };
         let known = value.as_str().and_then(parse_state);
         if known.is_none() {
-            self.note(EntryProblem::StateUnknown(value.clone()));
+            self.record_problem(EntryProblem::StateUnknown(value.clone()));
         }
         Some(known.unwrap_or(NodeState::Draining))
     }
 
-    /// The node's address. A ready node has to have one, and that of a removed node does not matter.
+    /// The node's address. It is required for a ready node, and an invalid address of a removed node is ignored.
     fn address(&mut self, state: NodeState) -> Option<SocketAddr> {
         let Some(value) = present_field(self.value, ADDRESS) else {
             if state == NodeState::Ready {
-                self.note_invalid(ADDRESS, &Value::Null);
+                self.record_invalid_field(ADDRESS, &Value::Null);
             }
             return None;
         };
         let address = value.as_str().and_then(|text| text.parse().ok());
         if address.is_none() && state != NodeState::Gone {
-            self.note_invalid(ADDRESS, value);
+            self.record_invalid_field(ADDRESS, value);
         }
         address
     }
@@ -258,19 +260,19 @@
         };
         let shard = value.as_u64().and_then(|shard| u32::try_from(shard).ok());
         if shard.is_none() {
-            self.note_invalid(SHARD, value);
+            self.record_invalid_field(SHARD, value);
         }
         shard
     }
 
-    /// The node's last start, in seconds of Unix time.
+    /// When the node last started, in seconds of Unix time; 0 if unknown.
     fn started_at(&mut self) -> f64 {
         let Some(value) = present_field(self.value, STARTED_AT_MS) else {
             return 0.0;
         };
         let milliseconds = value.as_f64().filter(|milliseconds| milliseconds.is_finite());
         if milliseconds.is_none() {
-            self.note_invalid(STARTED_AT_MS, value);
+            self.record_invalid_field(STARTED_AT_MS, value);
         }
         unix_seconds(milliseconds.unwrap_or(0.0))
     }
@@ -280,7 +282,7 @@
     }
 }
 
-/// A field's value, if the field exists and is not null.
+/// Returns the value of a field that exists and is not null.
 fn present_field<'a>(value: &'a Value, field: &str) -> Option<&'a Value> {
     value.get(field).filter(|value| !value.is_null())
 }
@@ -294,12 +296,12 @@
     }
 }
 
-/// The shard of a node whose entry names none: an older record's stays valid for a node that leaves.
+/// The shard of a node whose entry does not contain one. A node that is draining or gone keeps its known shard.
 fn default_shard(state: NodeState) -> Option<u32> {
     (state == NodeState::Ready).then_some(DEFAULT_SHARD)
 }
 
-/// Converts the milliseconds of the wire; 0 for a time before 1970.
+/// Converts the start time of a list entry to seconds; a time before 1970 becomes 0.
 fn unix_seconds(milliseconds: f64) -> f64 {
     if milliseconds > 0.0 { milliseconds / 1000.0 } else { 0.0 }
 }
--- a/crates/membership/src/zones.rs
+++ b/crates/membership/src/zones.rs
@@ -1,9 +1,10 @@
-//! Numbers for the names of zones.
+//! Assigns numbers to the names of zones.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The names of zones, numbered in the order in which they were first seen. All zones past the last number share it.
+/// The names of zones, numbered in the order in which they were first seen. Zones beyond the range of numbers share
+/// [`u16::MAX`].
 #[derive(Debug, Default)]
 pub(crate) struct Zones {
     names: Vec<Rc<str>>,
@@ -11,7 +12,7 @@
 }
 
 impl Zones {
-    /// The number of a zone, which is assigned if the zone is new.
+    /// Returns the number of a zone, and assigns one if the zone is new.
     pub(crate) fn number_of(&mut self, name: &str) -> u16 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -25,7 +26,7 @@
         number
     }
 
-    /// The name of a zone; empty for a number that was not assigned.
+    /// The name of a zone; empty if the number is not assigned.
     pub(crate) fn name_of(&self, number: u16) -> &str {
         match self.names.get(usize::from(number)) {
             Some(name) => name,
--- a/crates/membership/tests/compact.rs
+++ b/crates/membership/tests/compact.rs
@@ -1,5 +1,5 @@
-//! The typed parser gives the same entries as the parser that goes field by field, and applying a large list gives only
-//! the changes.
+//! Tests that the typed parser returns the same entries as the parser that reads field by field, and that applying a
+//! large list returns only the changes.
 
 use flaxgap_membership::compact::CompactList;
 use flaxgap_membership::list::{EndpointList, Entry, NodeState};
@@ -21,7 +21,7 @@
     EndpointList { version, is_snapshot, entries, unreadable: vec![] }.into()
 }
 
-/// A membership that has all nodes as ready by version 1, and its source.
+/// Returns a membership in which all nodes are ready at version 1, and the source of that list.
 fn synced_membership() -> (Membership, SourceCursor) {
     let (mut membership, mut source) = (Membership::default(), SourceCursor::default());
     let entries = (0..NODES).map(|n| entry(n, NodeState::Ready)).collect();
@@ -29,7 +29,7 @@
     (membership, source)
 }
 
-/// Valid and invalid values of each field of an entry, in random combinations and orders.
+/// Parses entries with random combinations of valid and invalid field values, in random order.
 #[test]
 fn typed_parser_agrees_with_field_by_field_parser() {
     let parts: [&[&str]; 7] = [
@@ -80,7 +80,7 @@
         fields.retain(|field| !field.is_empty());
         fields.shuffle(&mut rng);
         if rng.random_bool(0.05) {
-            // Of a field that is repeated the last value counts.
+            // The last value of a repeated field is used.
             fields.push(r#""state":"draining""#);
         }
         let good = r#"{"uid":"s-9","state":"draining"}"#;
@@ -91,15 +91,15 @@
     }
 }
 
-/// Given a complete list in which three of 7,100 nodes differ from the known list, then only these three are changes. The
-/// same list again gives no change, nor does it under a later version.
+/// A complete list in which 3 of 7,100 nodes differ from the known list causes only 3 changes. The same entries again
+/// cause no change, with the same or a later version.
 #[test]
 fn complete_list_gives_only_the_differences() {
     let (mut membership, mut source) = synced_membership();
     let mut entries: Vec<Entry> = (0..NODES).map(|n| entry(n, NodeState::Ready)).collect();
     entries[17].state = NodeState::Draining;
     entries[4000].address = Some(([127, 0, 0, 9], 81).into());
-    let left = entries.remove(7000);
+    let removed = entries.remove(7000);
     for (version, expected) in [(2, 3), (2, 0), (3, 0)] {
         let changes = membership.apply(&list(version, true, entries.clone()), &mut source, 2.0);
         let names: Vec<&str> = changes
@@ -108,13 +108,14 @@
                 NodeChange::Removed(node) | NodeChange::Updated { node, .. } => &*node.name,
             })
             .collect();
-        let all = [left.name.as_str(), entries[17].name.as_str(), entries[4000].name.as_str()];
+        let all = [removed.name.as_str(), entries[17].name.as_str(), entries[4000].name.as_str()];
         assert_eq!(names, all[..expected], "version {version}");
     }
     assert_eq!((membership.len(), membership.ready()), (NODES - 1, NODES - 2));
 }
 
-/// An unchanged entry gets the newer version all the same: an older list must not undo what a newer one has confirmed.
+/// The record of an unchanged entry gets the newer version: an older list must not override a value that a newer list
+/// has confirmed.
 #[test]
 fn unchanged_entry_updates_the_version_of_its_record() {
     let (mut membership, mut source) = synced_membership();
@@ -125,13 +126,13 @@
     assert_eq!(membership.apply(&list(10, false, vec![moved]), &mut other, 3.0).len(), 1);
 }
 
-/// Each field that differs, alone, is a change. A change of shard names the previous shard, and a node whose entry lacks
-/// address and shard keeps both.
+/// A difference in a single field is a change. A change of the shard contains the previous shard, and a node whose
+/// entry has no address and no shard keeps its known ones.
 #[test]
 fn each_field_that_differs_is_a_change() {
     let (mut membership, mut source) = synced_membership();
     let base = entry(5, NodeState::Ready);
-    let parts = [
+    let changed_entries = [
         Entry { zone: "other".into(), ..base.clone() },
         Entry { started_at: 1.5, ..base.clone() },
         Entry { shard: Some(9), ..base.clone() },
@@ -139,20 +140,20 @@
         Entry { address: None, shard: None, state: NodeState::Draining, ..base.clone() },
     ];
     let mut seen = vec![];
-    for (place, part) in parts.into_iter().enumerate() {
-        let version = 2 + place as u64;
-        let changes = membership.apply(&list(version, false, vec![part.clone()]), &mut source, 2.0);
+    for (index, changed) in changed_entries.into_iter().enumerate() {
+        let version = 2 + index as u64;
+        let changes = membership.apply(&list(version, false, vec![changed.clone()]), &mut source, 2.0);
         let [NodeChange::Updated { node, previous_shard }] = &changes[..] else {
-            panic!("{part:?}: {changes:?}")
+            panic!("{changed:?}: {changes:?}")
         };
         seen.push((node.shard, *previous_shard, node.address.map(|address| address.is_ipv6())));
-        assert_eq!(membership.apply(&list(version, false, vec![part]), &mut source, 2.0), []);
+        assert_eq!(membership.apply(&list(version, false, vec![changed]), &mut source, 2.0), []);
     }
     let (v4, v6) = (Some(false), Some(true));
     assert_eq!(seen, [(5, None, v4), (5, None, v4), (9, Some(5), v4), (5, Some(9), v6), (5, None, v6)]);
 }
 
-/// A node that returns after its departure gets a new id, so that users of the old id take it for another node.
+/// A node that is listed again after its removal gets a new ID, so that it is not mistaken for the earlier run.
 #[test]
 fn returning_node_gets_a_new_id() {
     let (mut membership, mut source) = synced_membership();
@@ -162,18 +163,18 @@
     assert_eq!((membership.node("s-00000005"), membership.knows("s-00000005")), (None, true));
     membership.apply(&list(3, false, vec![entry(5, NodeState::Ready)]), &mut source, 3.0);
     let back = membership.node("s-00000005").expect("listed").id;
-    let numbers: HashSet<u32> = membership.nodes().map(|node| node.id).collect();
-    assert!(back != before && numbers.len() == NODES && !numbers.contains(&before));
+    let ids: HashSet<u32> = membership.nodes().map(|node| node.id).collect();
+    assert!(back != before && ids.len() == NODES && !ids.contains(&before));
 }
 
-/// Random histories in which some 2,000 of 7,100 nodes are replaced at each of ten versions, from sources that lag: a node
-/// that had departed by the newest version received is not listed again by an older list, also when more nodes have
-/// departed than the minimum that is retained.
+/// Applies random histories of lists from sources that lag, in which about 2,000 of 7,100 nodes are replaced at each
+/// of ten versions. An older list must not add a node again that was removed by the newest version received, even
+/// when more nodes were removed than `MIN_DEPARTED`.
 #[test]
 fn older_list_brings_back_none_of_thousands_of_departed_nodes() {
     for seed in 0..3 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // The first and the last number of the listed nodes at each version.
+        // The range of the numbers of the listed nodes at each version; its end is exclusive.
         let mut spans = vec![(0, NODES)];
         for version in 1..10 {
             let replaced = rng.random_range(1500..2500);
@@ -183,7 +184,7 @@
             let entries = (spans[version].0..spans[version].1).map(|n| entry(n, NodeState::Ready));
             list(version as u64, true, entries.collect())
         };
-        // All changes after one version up to another.
+        // The changes after one version, up to and including another.
         let change = |after: usize, version: usize| {
             let (before, now) = (spans[after], spans[version]);
             let gone = (before.0..now.0).map(|n| entry(n, NodeState::Gone));
@@ -210,12 +211,12 @@
             assert_eq!(stale, 0, "seed {seed}, step {step}: version {version} after {newest}");
         }
         assert_eq!(newest, 9, "seed {seed}");
-        assert!(spans[9].0 > 3 * MIN_DEPARTED, "more have departed than the minimum that is retained");
-        assert!(membership.knows("s-00000000"), "the first that departed is still retained");
+        assert!(spans[9].0 > 3 * MIN_DEPARTED, "more nodes were removed than the minimum that is remembered");
+        assert!(membership.knows("s-00000000"), "the first removed node is still remembered");
     }
 }
 
-/// The memory of departed nodes is bounded: as many are retained as four times the longest list.
+/// The number of remembered removals is limited to four times the length of the longest list.
 #[test]
 fn departed_names_are_dropped_beyond_four_times_the_longest_list() {
     let (mut membership, mut source) = synced_membership();
@@ -228,7 +229,7 @@
     assert_eq!(known, [false, false, false, true, true, true, true, true]);
 }
 
-/// A complete list with an unreadable entry for a node does not lack that node: its known record is unchanged.
+/// A node with an invalid entry in a complete list is not removed: its known record stays valid.
 #[test]
 fn node_with_an_unreadable_entry_stays_listed() {
     let (mut membership, mut source) = synced_membership();
--- a/crates/membership/tests/decoder.rs
+++ b/crates/membership/tests/decoder.rs
@@ -1,4 +1,4 @@
-//! Decoding of lists in any layout, split at any byte, and next to input that can't be read.
+//! Tests that lists are decoded in any layout, split at any byte, and before or after malformed input.
 
 use flaxgap_membership::decoder::{DecodeError, Decoded, ListDecoder, MAX_LIST_BYTES};
 use flaxgap_membership::list::{EndpointList, NodeState};
@@ -15,7 +15,7 @@
     serde_json::to_string_pretty(&value).expect("a text")
 }
 
-/// Decodes a stream that arrives in these pieces; returns its lists and its errors.
+/// Decodes a stream that arrives in `pieces`. Returns its lists and its errors.
 fn decode<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> (Vec<EndpointList>, Vec<String>) {
     let mut decoder = ListDecoder::default();
     let (mut lists, mut errors) = (Vec::new(), Vec::new());
@@ -36,8 +36,8 @@
     lists.iter().map(|list| list.version).collect()
 }
 
-/// Lists on one line, indented, and two on a line, with braces, quotes and line ends inside strings: wherever the stream is
-/// split into two reads, every list is decoded, with its draining node.
+/// Decodes lists on one line, indented lists, and two lists on a line, with braces, quotes and line breaks inside
+/// strings. Every list and its draining node must be decoded, wherever the stream is split into two reads.
 #[test]
 fn lists_in_any_layout_are_decoded_wherever_the_stream_is_split() {
     let stream = format!("\n{}\n\n{}\n{}{}\r\n\n", compact(1), indented(2), compact(3), indented(4));
@@ -53,20 +53,20 @@
     assert_eq!(versions(&decode(bytes.chunks(1)).0), [1, 2, 3, 4]);
 }
 
-/// Given input that can't be read, when lists follow, then each is decoded once it is complete, and the error is reported
-/// once, with its offset, wherever the stream is split.
+/// Lists after malformed input are decoded as soon as they are complete, and the error is reported once, with its
+/// offset, wherever the stream is split.
 #[test]
 fn lists_after_unreadable_input_are_decoded() {
     let cases: [(&str, &str); 7] = [
-        ("{\"rev\":2,\"targets\":[{\"uid\":\"s-1\n", "byte 31: a string that does not end"),
-        ("no list\n", "byte 0: no object"),
-        ("{\"rev\":2,\"targets\":[]]\n", "byte 21: brackets that do not fit"),
+        ("{\"rev\":2,\"targets\":[{\"uid\":\"s-1\n", "byte 31: unterminated string"),
+        ("no list\n", "byte 0: expected an object"),
+        ("{\"rev\":2,\"targets\":[]]\n", "byte 21: mismatched brackets"),
         ("{\"rev\":2}\n", "value at byte 0: list: missing field `targets` at line 1 column 9"),
         (
             "{\n  \"rev\": 2,\n  \"targets\": [\n    {\"uid\": \"s-1\"}}\n  ]\n}\n",
-            "byte 47: brackets that do not fit",
+            "byte 47: mismatched brackets",
         ),
-        ("[1,\n2]\n", "byte 0: no object"),
+        ("[1,\n2]\n", "byte 0: expected an object"),
         ("{\"rev\":2,}\n", "value at byte 0: list: trailing comma at line 1 column 10"),
     ];
     for (bad, expected) in cases {
@@ -82,8 +82,8 @@
     }
 }
 
-/// Given a list that was truncated between two values, when others follow, then these are decoded: the missing comma shows
-/// where the truncated list ended.
+/// Lists after a list that was truncated between two values are decoded: the missing comma shows where the truncated
+/// list ends.
 #[test]
 fn truncated_list_does_not_hide_the_next() {
     let complete = compact(2);
@@ -92,13 +92,13 @@
     assert_eq!(versions(&lists), [3, 4]);
     assert_eq!(errors.len(), 1, "{errors:?}");
     let (lists, errors) = decode([format!("{{\"rev\":2,\"targets\":[],\n\n{}\n", compact(3)).as_bytes()]);
-    assert_eq!((versions(&lists), errors), (vec![3], vec!["byte 24: a name is missing".into()]));
-    // Two unreadable parts with a list between them are two errors.
+    assert_eq!((versions(&lists), errors), (vec![3], vec!["byte 24: missing field name".into()]));
+    // Malformed parts with a list between them are separate errors.
     let (lists, errors) = decode([format!("x\n{}\ny\n{}\n", compact(3), compact(4)).as_bytes()]);
     assert_eq!((versions(&lists), errors.len()), (vec![3, 4], 2));
 }
 
-/// A value without an end can't exhaust the memory.
+/// A value that never ends must not exhaust the memory.
 #[test]
 fn value_beyond_the_size_limit_is_an_error() {
     let mut decoder = ListDecoder::default();
@@ -127,7 +127,7 @@
     assert_eq!((lists[0].entries.len(), errors.len()), (1024, 0));
 }
 
-/// A text whose fingerprint is known is not parsed again; another text is.
+/// A list whose text has the known fingerprint is not parsed again; another list is parsed.
 #[test]
 fn known_text_is_not_parsed_again() {
     let mut decoder = ListDecoder::default();
--- a/crates/membership/tests/equivalence.rs
+++ b/crates/membership/tests/equivalence.rs
@@ -1,20 +1,23 @@
-//! `Membership` keeps compact records, and one record for all nodes that a complete list lacks. After every list of any
-//! history it has to have the same nodes as the reference implementation of its rules.
+//! Compares `Membership` with a reference implementation. `Membership` stores compact records, and confirms earlier
+//! removals once per complete list instead of in each record. After every list of a random history, both must have the
+//! same nodes.
 
-mod eager;
+mod reference;
 
-use eager::{EagerMembership, EagerSource};
 use flaxgap_membership::list::{EndpointList, Entry, NodeState};
 use flaxgap_membership::{EntryChange, Membership, SourceCursor};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use reference::{ReferenceMembership, ReferenceSource};
 use std::collections::BTreeMap;
 
+/// Lists per random history.
 const LISTS: usize = 150;
+/// Number of random histories.
 const SEEDS: u64 = 1500;
 
-/// The nodes as a user of the membership sees them. The reference also reports entries that change nothing, which makes no
-/// difference here.
+/// State, address and shard of each listed node by name, according to the reported changes. The reference also reports
+/// entries without a change; applying these has no effect.
 type Known = BTreeMap<String, (NodeState, Option<std::net::SocketAddr>, Option<u32>)>;
 
 fn apply(known: &mut Known, changes: Vec<EntryChange>) {
@@ -45,13 +48,13 @@
     Entry { name, address, zone: String::new(), shard, state, started_at }
 }
 
-/// Random complete and partial lists from two sources, whose versions repeat, go back and restart.
+/// Applies random complete and partial lists from two sources, whose versions repeat, go back and restart.
 #[test]
 fn membership_agrees_with_the_reference_after_any_history() {
     for seed in 0..SEEDS {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut compact, mut eager) = (Membership::default(), EagerMembership::default());
-        let mut sources: [(SourceCursor, EagerSource); 2] = Default::default();
+        let (mut compact, mut reference) = (Membership::default(), ReferenceMembership::default());
+        let mut sources: [(SourceCursor, ReferenceSource); 2] = Default::default();
         let (mut known, mut expected) = (Known::new(), Known::new());
         let (mut now, mut version) = (100.0, 20);
         for step in 0..LISTS {
@@ -68,9 +71,9 @@
             if rng.random_bool(0.01) {
                 version = 1;
             }
-            let (source, eager_source) = &mut sources[usize::from(rng.random_bool(0.3))];
+            let (source, reference_source) = &mut sources[usize::from(rng.random_bool(0.3))];
             apply(&mut known, compact.apply_named(list.clone(), source, now));
-            apply(&mut expected, eager.apply(list, eager_source, now));
+            apply(&mut expected, reference.apply(list, reference_source, now));
             assert_eq!(known, expected, "seed {seed}, list {step}");
         }
     }
--- a/crates/membership/tests/list_header.rs
+++ b/crates/membership/tests/list_header.rs
@@ -1,10 +1,12 @@
-//! A complete list is recognized by its first bytes, in any layout, and never before its whole version was received.
+//! Tests that an incomplete complete list is detected by its first two fields, in any layout, and not before all digits
+//! of its version were received.
 
 use flaxgap_membership::decoder::{Decoded, ListDecoder, MAX_LIST_BYTES};
 
+/// Each list is truncated at every byte before this one.
 const CUTS: usize = 200;
 
-/// The version of the complete list that `text` ends in the middle of, if it is known.
+/// Decodes `text` and returns the version of the truncated complete list at its end, if the version is known.
 fn incomplete_version(text: &str) -> Option<u64> {
     let mut decoder = ListDecoder::default();
     decoder.push(text.as_bytes());
@@ -12,7 +14,7 @@
     decoder.incomplete_snapshot_version()
 }
 
-/// Layouts of one complete list of version 4107, each with the length of its first two fields.
+/// Different layouts of one complete list of version 4107, each with the length of its first two fields.
 fn layouts() -> Vec<(String, usize)> {
     let entry =
         r#"{"uid":"s-1","endpoint":"127.0.0.1:80","az":"a","pod_group":0,"state":"ready","boot_ms":0}"#;
@@ -27,8 +29,8 @@
     headers.iter().map(|header| (format!("{header}\n {rest}"), header.len())).collect()
 }
 
-/// Given a complete list that is truncated at any of its first 200 bytes, then its version is known from the end of its
-/// header on, and not a byte before: half a number is another version.
+/// Truncates a complete list at each of its first 200 bytes. The version must be known only after the end of the
+/// header: a number that is read too early would be another version.
 #[test]
 fn version_is_known_from_the_end_of_the_header_on() {
     for (text, header) in layouts() {
@@ -39,7 +41,7 @@
     }
 }
 
-/// Given a text whose first two fields are not those of a complete list, then no version is known from its first bytes.
+/// No version is returned for a text whose first two fields are not the version and the flag of a complete list.
 #[test]
 fn other_text_has_no_version() {
     let others = [
@@ -61,7 +63,7 @@
     for text in others {
         assert_eq!(incomplete_version(text), None, "{text}");
     }
-    // Nor does the rest of a line that can't be read.
+    // The rest of a line with a syntax error is skipped.
     assert_eq!(incomplete_version(r#"x {"rev":7,"all":true,"targets":["#), None);
     assert_eq!(
         incomplete_version("{\"rev\":6,\"targets\":[]}\n{\"rev\":7,\"all\":true,\"targets\":["),
@@ -69,8 +71,8 @@
     );
 }
 
-/// A list of 7,100 nodes, indented more widely than any tool does by default, takes less than half of the size limit and is
-/// decoded in full.
+/// A list of 7,100 nodes is decoded in full and takes less than half of the size limit, although it is indented more
+/// widely than by the defaults of any tool.
 #[test]
 fn list_of_7100_indented_entries_is_within_the_size_limit() {
     let indent = " ".repeat(16);
--- a/crates/membership/tests/records.rs
+++ b/crates/membership/tests/records.rs
@@ -1,5 +1,6 @@
-//! Which record of a node is in force: single cases, then random histories from sources that lag, received by heads that
-//! restart. The checker is shown to catch a head that overwrites its list with each list it receives.
+//! Tests which record of a node is valid: single cases, then random histories of lists from sources that lag,
+//! received by heads that restart. The random test also verifies that it detects a head that replaces its list with
+//! every list that it receives.
 
 use flaxgap_membership::list::{EndpointList, Entry, NodeState};
 use flaxgap_membership::{EntryChange, Membership, REWIND_AFTER_S, SourceCursor};
@@ -17,7 +18,7 @@
     EndpointList { version, is_snapshot, entries: entries.to_vec(), unreadable: vec![] }
 }
 
-/// A head: its membership, and the states of its listed nodes by the changes that the membership reported.
+/// A head: its membership, and the states of its listed nodes according to the changes that the membership returned.
 #[derive(Default)]
 struct Head {
     membership: Membership,
@@ -41,7 +42,8 @@
 
 use NodeState::{Draining, Gone, Ready};
 
-/// A source that is behind the previous one, or behind the cached list, sends a complete list or repeats past changes.
+/// A source that is behind the previous source or the cached list sends an old complete list or repeats old changes. A
+/// draining node must not become ready.
 #[test]
 fn older_list_does_not_make_a_draining_node_ready() {
     for complete in [true, false] {
@@ -54,19 +56,19 @@
             101.0,
         );
         assert!(other.is_behind());
-        // A node that version 9 lacked had departed by then; a node that it had is not gone because an older list lacks it.
+        // Node c is not in version 9, so it was removed before; node b stays although it is not in the older list.
         assert_eq!([head.state("a"), head.state("b"), head.state("c")], [Some(Draining), Some(Ready), None]);
-        // A drain counts from any source.
+        // A drain is accepted from any source.
         head.receive(list(8, false, &[entry("b", Draining, 5.0)]), &mut other, 101.1);
         assert_eq!(head.state("b"), Some(Draining));
-        // Once the source has caught up, its records are in force.
+        // Once the source has caught up, its records are accepted.
         head.receive(list(10, false, &[entry("a", Ready, 0.0), entry("c", Ready, 102.0)]), &mut other, 102.0);
         assert!(!other.is_behind());
         assert_eq!([head.state("a"), head.state("c")], [Some(Ready), Some(Ready)]);
     }
 }
 
-/// A node that was reported as gone or draining is ready again by a later start or a newer record only.
+/// A node that was reported as gone or draining becomes ready only by a later start or a newer record.
 #[test]
 fn departed_node_returns_by_a_later_start_or_a_newer_record() {
     let (mut head, mut source) = (Head::default(), SourceCursor::default());
@@ -77,7 +79,7 @@
     assert_eq!(
         (head.state("a"), head.state("b")),
         (None, Some(Draining)),
-        "a start from before that record is no news"
+        "a start from before the removal does not make a node ready"
     );
     head.receive(list(3, false, &[entry("a", Ready, 101.5), entry("b", Ready, 101.5)]), &mut late, 102.0);
     assert_eq!((head.state("a"), head.state("b")), (Some(Ready), Some(Ready)));
@@ -86,8 +88,8 @@
     assert_eq!((head.state("a"), head.state("b")), (None, Some(Ready)));
 }
 
-/// A source that has restarted its numbering is taken over once it has been behind for too long to be merely lagging. Its
-/// list brings back no node that was reported as leaving; its own later record does.
+/// The lists of a source that has restarted its version count are accepted after `REWIND_AFTER_S`. Its first list
+/// must not make a draining node ready; a later record of that source may.
 #[test]
 fn restarted_numbering_is_accepted_and_brings_back_no_draining_node() {
     let (mut head, mut old) = (Head::default(), SourceCursor::default());
@@ -111,7 +113,7 @@
     assert_eq!(head.state("a"), Some(Ready));
 }
 
-/// A history of the list: the nodes that are listed at each version, and the changes of that version.
+/// A random history of the endpoint list: the listed nodes at each version, and the changes of each version.
 struct History {
     states: Vec<BTreeMap<String, (NodeState, f64)>>,
     changes: Vec<Vec<Entry>>,
@@ -149,7 +151,7 @@
         list(version as u64, true, &entries)
     }
 
-    /// The lists that a source at `version` sends to a watch that starts after version `after`.
+    /// The lists that a source at `version` sends to a new watch for the changes after version `after`.
     fn since(&self, version: usize, after: usize, complete: bool) -> Vec<EndpointList> {
         match after > version || complete {
             true => vec![self.complete(version)],
@@ -158,13 +160,13 @@
     }
 
     /// Whether a node was not ready at `version`.
-    fn is_leaving(&self, name: &str, version: usize) -> bool {
+    fn is_not_ready(&self, name: &str, version: usize) -> bool {
         self.states[version].get(name).is_none_or(|(state, _)| *state != Ready)
     }
 }
 
-/// Overwrites the states with a list, whatever its version: the fault that the checker has to catch.
-fn overwrite(states_by_name: &mut BTreeMap<String, NodeState>, list: &EndpointList) {
+/// Replaces the states with a list, regardless of its version. The test has to detect this fault.
+fn replace_list(states_by_name: &mut BTreeMap<String, NodeState>, list: &EndpointList) {
     if list.is_snapshot {
         states_by_name.clear();
     }
@@ -176,9 +178,9 @@
     }
 }
 
-/// Plays one history. Returns how often a head had a node as ready that by the newest version received was not, and whether
-/// its list was right in the end, once its source had sent everything.
-fn play(seed: u64, overwrites: bool) -> (usize, bool) {
+/// Simulates a head that receives lists of one random history. Returns how often a node was ready at the head but not
+/// in the newest version received, and whether the head's list was correct after its source had sent all changes.
+fn simulate(seed: u64, replaces_list: bool) -> (usize, bool) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let history = History::random(&mut rng, 40);
     let (mut head, mut received, mut now) = (Head::default(), 0, 0);
@@ -186,41 +188,41 @@
     let mut violations = 0;
     for _ in 0..200 {
         now = (now + usize::from(rng.random_bool(0.3))).min(39);
-        let which = *[0, 1].choose(&mut rng).expect("two");
-        let (source, at) = &mut sources[which];
-        // Each source lags by a random number of versions, and never goes back.
+        let source_index = *[0, 1].choose(&mut rng).expect("two");
+        let (source, at) = &mut sources[source_index];
+        // Each source lags by a random number of versions, and its version never decreases.
         *at = (*at).max(now.saturating_sub(rng.random_range(0..8)));
         if rng.random_bool(0.05) {
-            // The head restarts with a cached list of some version that it had received.
+            // The head restarts with a cached list of a random version that it has received.
             let known = rng.random_range(0..=received);
             (head, received) = (Head::default(), known);
             let complete = history.complete(known);
-            if overwrites {
-                overwrite(&mut head.states_by_name, &complete);
+            if replaces_list {
+                replace_list(&mut head.states_by_name, &complete);
             }
-            head.receive_unless(overwrites, complete, &mut SourceCursor::default(), now as f64);
+            head.receive_unless(replaces_list, complete, &mut SourceCursor::default(), now as f64);
             sources.iter_mut().for_each(|(source, _)| *source = SourceCursor::at(known as u64));
             continue;
         }
         let complete = rng.random_bool(0.2);
         for list in history.since(*at, source.version() as usize, complete) {
             let version = list.version as usize;
-            if overwrites {
-                overwrite(&mut head.states_by_name, &list);
+            if replaces_list {
+                replace_list(&mut head.states_by_name, &list);
                 *source = SourceCursor::at(list.version);
             }
-            head.receive_unless(overwrites, list, source, now as f64);
+            head.receive_unless(replaces_list, list, source, now as f64);
             received = received.max(version);
             let ready = head.states_by_name.iter().filter(|(_, state)| **state == Ready);
-            violations += ready.filter(|(name, _)| history.is_leaving(name, received)).count();
+            violations += ready.filter(|(name, _)| history.is_not_ready(name, received)).count();
         }
     }
     let (source, _) = &mut sources[0];
     for list in history.since(39, source.version() as usize, true) {
-        if overwrites {
-            overwrite(&mut head.states_by_name, &list);
+        if replaces_list {
+            replace_list(&mut head.states_by_name, &list);
         }
-        head.receive_unless(overwrites, list, source, 40.0);
+        head.receive_unless(replaces_list, list, source, 40.0);
     }
     let truth: BTreeMap<String, NodeState> =
         history.states[39].iter().map(|(n, s)| (n.clone(), s.0)).collect();
@@ -228,26 +230,33 @@
 }
 
 impl Head {
-    fn receive_unless(&mut self, overwrites: bool, list: EndpointList, source: &mut SourceCursor, now: f64) {
-        if !overwrites {
+    fn receive_unless(
+        &mut self,
+        replaces_list: bool,
+        list: EndpointList,
+        source: &mut SourceCursor,
+        now: f64,
+    ) {
+        if !replaces_list {
             self.receive(list, source, now);
         }
     }
 }
 
-/// Whatever the order of lists, no node is ready that the newest list received has as leaving, and the list is right in the
-/// end.
+/// In any order of lists, a node that is draining or gone in the newest version received is not ready, and the final
+/// list is correct.
 #[test]
 fn no_order_of_lists_brings_a_draining_node_back() {
     for seed in 0..400 {
-        let (violations, is_right_at_end) = play(seed, false);
+        let (violations, is_right_at_end) = simulate(seed, false);
         assert_eq!((violations, is_right_at_end), (0, true), "seed {seed}");
     }
-    let caught = (0..50).filter(|seed| play(*seed, true).0 > 0).count();
-    assert!(caught >= 45, "the checker catches a head that overwrites its list on {caught} of 50 seeds");
+    let detected = (0..50).filter(|seed| simulate(*seed, true).0 > 0).count();
+    assert!(detected >= 45, "a head that replaces its list is detected for {detected} of 50 seeds");
 }
 
-/// Lists of the size of a larger fleet, with new names each time: old names are dropped in the end.
+/// Applies complete lists of 1,024 nodes with new names each time. The names of nodes removed long ago must be
+/// forgotten.
 #[test]
 fn lists_of_1024_names_are_applied_and_departed_names_dropped() {
     let (mut head, mut source) = (Head::default(), SourceCursor::default());
--- a/crates/membership/tests/eager/mod.rs
+++ b/crates/membership/tests/reference/mod.rs
@@ -1,23 +1,23 @@
-//! Reference implementation of the rules of [`flaxgap_membership`]: one table of full records, each complete list visits all
-//! of them, nothing is ever dropped, and every entry that is applied is a change.
+//! Reference implementation of the rules of [`flaxgap_membership`]. It has one table of complete records, which each
+//! complete list updates one by one. It never forgets a record and reports every applied entry as a change.
 
 use flaxgap_membership::list::{EndpointList, Entry, NodeState};
 use flaxgap_membership::{EntryChange, REWIND_AFTER_S};
 use std::collections::{HashMap, HashSet};
 
-/// Since when a source is behind the known list.
+/// Since when a source has been behind the known version.
 #[derive(Debug, Default)]
-pub struct EagerSource {
+pub struct ReferenceSource {
     behind_since: Option<f64>,
 }
 
-impl EagerSource {
+impl ReferenceSource {
     fn has_rewound(&self, now: f64) -> bool {
         self.behind_since.is_some_and(|since| now - since >= REWIND_AFTER_S)
     }
 }
 
-/// The version of a record: how often the numbering had been restarted before it, then the version.
+/// The version of a record, with the number of restarts of the version count before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ListVersion {
     epoch: u32,
@@ -25,31 +25,32 @@
 }
 
 impl ListVersion {
-    /// Whether this record is known to be newer. Versions from before and after a restart can't be compared,
-    /// unless the later numbering has passed the end of the earlier one.
+    /// Whether this version is known to be newer than `other`. A version after a restart is known to be newer only if
+    /// its number is also higher.
     fn is_newer_than(self, other: ListVersion) -> bool {
         self.epoch >= other.epoch && self.version > other.version
     }
 
-    /// Whether this record is known to be older.
+    /// Whether this version is known to be older than `other`.
     fn is_older_than(self, other: ListVersion) -> bool {
         self.epoch == other.epoch && self.version < other.version
     }
 }
 
-/// The record of a node that is in force: its state and last start, the version of that record, and when it was received.
+/// The valid record of a node: its state, its last start, its version, and when it was received.
 #[derive(Clone, Copy, Debug)]
 struct StateRecord {
     state: NodeState,
     started_at: f64,
     version: ListVersion,
     received_at: f64,
-    /// The node was reported as leaving by a list older than `version`, which is that of the newer list that had it ready.
+    /// Whether the drain or removal was reported by a list older than `version`, the version of the newest list that
+    /// reported the node as ready.
     is_tentative: bool,
 }
 
 impl StateRecord {
-    /// The record that replaces another one.
+    /// Creates the record that replaces `known`.
     fn replacing(
         known: Option<&StateRecord>,
         state: NodeState,
@@ -57,22 +58,24 @@
         version: ListVersion,
         received_at: f64,
     ) -> StateRecord {
-        let fresh = StateRecord { state, started_at, version, received_at, is_tentative: false };
-        let Some(known) = known.filter(|_| state != NodeState::Ready) else { return fresh };
-        // A drain may lack the start of the node, and one from an older list does not change what ends it.
+        let received = StateRecord { state, started_at, version, received_at, is_tentative: false };
+        let Some(known) = known.filter(|_| state != NodeState::Ready) else { return received };
+        // The entry of a draining node may lack its start time, and an entry of an older list must not allow an older
+        // record to end the drain.
         let (started_at, older) = (started_at.max(known.started_at), version.is_older_than(known.version));
         let is_tentative = older && (known.is_tentative || known.state == NodeState::Ready);
         StateRecord {
             started_at,
             is_tentative,
             version: if older { known.version } else { version },
-            ..fresh
+            ..received
         }
     }
 
-    /// Whether an entry replaces this record of the same node. The one place that decides between two records.
+    /// Whether an entry replaces this record. All decisions between two records of a node are made here.
     fn is_superseded_by(&self, entry: &Entry, version: ListVersion) -> bool {
-        // A start later than that of this record is new in any list, unless an older list can't know of it.
+        // A later start is accepted, except from an older list that reports a start from before this record was
+        // received.
         let restarted = entry.started_at > self.started_at
             && (!version.is_older_than(self.version) || entry.started_at > self.received_at);
         match (entry.state, self.state) {
@@ -83,7 +86,7 @@
                     || self.is_tentative && !version.is_older_than(self.version)
             }
             (NodeState::Draining, NodeState::Gone) => !version.is_older_than(self.version),
-            // A drain counts from any source, except that of an incarnation known to be earlier.
+            // A drain or a removal is accepted from any source, unless it refers to an earlier run of the node.
             (_, _) => {
                 !(version.is_older_than(self.version)
                     && entry.started_at < self.started_at
@@ -93,19 +96,21 @@
     }
 }
 
-/// The records in force after all lists that were received.
+/// The valid records of all nodes, derived from all lists received so far.
 #[derive(Debug, Default)]
-pub struct EagerMembership {
+pub struct ReferenceMembership {
     records: HashMap<String, StateRecord>,
-    /// The newest version received.
+    /// The newest version received so far.
     newest: ListVersion,
-    /// Version of the last complete list: a name that it lacked was gone by then, if it had ever been listed.
+    /// The version of the last complete list that was not behind. A node that it does not contain was not listed at its
+    /// version.
     last_snapshot: Option<ListVersion>,
 }
 
-impl EagerMembership {
-    /// Applies a list. Returns its changes: first the nodes that a complete list lacks, then those of its entries in order.
-    pub fn apply(&mut self, list: EndpointList, source: &mut EagerSource, now: f64) -> Vec<EntryChange> {
+impl ReferenceMembership {
+    /// Applies a list and returns the changes: first the removals of nodes that a complete list does not contain,
+    /// then the changes by its entries, in their order.
+    pub fn apply(&mut self, list: EndpointList, source: &mut ReferenceSource, now: f64) -> Vec<EntryChange> {
         if list.is_snapshot && list.version < self.newest.version && source.has_rewound(now) {
             self.newest = ListVersion { epoch: self.newest.epoch + 1, version: list.version };
             self.last_snapshot = None;
@@ -114,7 +119,8 @@
         source.behind_since =
             source.behind_since.or(Some(now)).filter(|_| version.is_older_than(self.newest));
         let mut changes = Vec::new();
-        // Only a list that is not behind says that nodes which it lacks are gone.
+        // A node that is missing from a complete list was removed, unless the list is behind and the node was added
+        // later.
         if list.is_snapshot && source.behind_since.is_none() {
             for name in self.missing_from(&list) {
                 changes.extend(self.mark_gone(name, version, now));
@@ -129,7 +135,8 @@
         changes
     }
 
-    /// The known names that a complete list lacks, also those of gone nodes: they are still gone by that list's version.
+    /// The known names that a complete list does not contain, including those of removed nodes: the list confirms their
+    /// removal.
     fn missing_from(&self, list: &EndpointList) -> Vec<String> {
         let named: HashSet<&str> = list.entries.iter().map(|entry| entry.name.as_str()).collect();
         let mut missing: Vec<String> =
@@ -140,11 +147,11 @@
 
     fn apply_entry(&mut self, entry: Entry, version: ListVersion, now: f64) -> Option<EntryChange> {
         let known = self.records.get(&entry.name);
-        let is_in_force = match known {
+        let is_accepted = match known {
             Some(record) => record.is_superseded_by(&entry, version),
             None => self.last_snapshot.is_none_or(|snapshot| !version.is_older_than(snapshot)),
         };
-        if !is_in_force {
+        if !is_accepted {
             return None;
         }
         if entry.state == NodeState::Gone {
@@ -156,7 +163,7 @@
         Some(EntryChange::Updated(entry))
     }
 
-    /// Records that a node is gone. This is a change if it was listed.
+    /// Records the removal of a node. Returns a change if the node was listed.
     fn mark_gone(&mut self, name: String, version: ListVersion, now: f64) -> Option<EntryChange> {
         let known = self.records.get(&name).copied();
         self.records
--- a/crates/membership/tests/wire.rs
+++ b/crates/membership/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Parsing of lists with entries that can't be read.
+//! Tests the parsing of lists with invalid entries or absent fields.
 
 use flaxgap_membership::list::{EndpointList, NodeState};
 use flaxgap_membership::wire::ListError;
@@ -7,7 +7,7 @@
     EndpointList::parse(format!(r#"{{"rev":7,"all":false,"targets":[{targets}]}}"#).as_bytes())
 }
 
-/// One unreadable entry does not affect the others; a drain counts whatever else is wrong with its entry.
+/// An invalid entry does not affect other entries, and a drain or removal is kept if another field is invalid.
 #[test]
 fn unreadable_entry_does_not_affect_others() {
     let good =
@@ -43,7 +43,7 @@
     }
 }
 
-/// Lists of other deployments may lack zones, start times and shards.
+/// Zones, start times and shards are optional: some deployments do not have them.
 #[test]
 fn absent_and_null_fields_are_valid() {
     let list = parse(
@@ -56,7 +56,7 @@
     assert_eq!(read, [("", Some(0), 0.0), ("", None, 0.0), ("", None, 0.0)]);
 }
 
-/// A list of another format must not remove all nodes.
+/// A list in another format is rejected: it would otherwise remove all nodes.
 #[test]
 fn list_without_readable_entry_is_rejected() {
     assert!(matches!(
