--- a/crates/distribution/src/encode.rs
+++ b/crates/distribution/src/encode.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// A node of which only the name could be parsed: the receiver retains what it knows of that node.
+/// The wire form of a node of which only the name could be parsed. The receiver keeps its previous entry of the node.
 fn name_only_entry(name: &str) -> WireEntry<'_> {
     WireEntry { uid: name, endpoint: None, az: "", pod_group: None, state: None, boot_ms: 0 }
 }
@@ -66,7 +66,7 @@
     Ok(text.into())
 }
 
-/// Encodes the changes that lead to a version.
+/// Encodes the changes that bring a receiver to a version.
 pub(crate) fn encode_changes(version: u64, entries: &[Entry]) -> Result<Bytes, serde_json::Error> {
     let targets = entries.iter().map(wire_entry).collect();
     encode_line(&WireList { rev: version, all: false, targets })
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -18,12 +18,12 @@
 /// One encoded line of changes.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// The version that it starts from.
+    /// The version that the changes apply to.
     pub from_version: u64,
     /// A watcher that knows this version, or a later one, does not need the record.
     pub needed_below: u64,
-    /// It is the difference of two complete lists with versions between them. A node that changed and changed back
-    /// in between is not in it, so it can't serve a watcher that knows a version between the two.
+    /// Whether the record is the difference of two complete lists with versions between them. Such a record omits a
+    /// node that changed and changed back in between, so it can't serve a watcher at an intermediate version.
     pub skips_versions: bool,
     /// The encoded line, with its newline.
     pub text: Bytes,
@@ -34,11 +34,11 @@
 pub enum Lookup {
     /// All later changes are in the log, from this position on.
     Available(Position),
-    /// Some later changes are not in the log any more, or never were.
+    /// Some later changes were compacted, or were never logged.
     Compacted,
 }
 
-/// The records, oldest first.
+/// A bounded log of records, oldest first.
 #[derive(Debug)]
 pub struct Log {
     records: VecDeque<Record>,
@@ -50,7 +50,7 @@
 }
 
 impl Log {
-    /// An empty log with its bounds.
+    /// Creates an empty log that holds at most `max_bytes` of encoded text and `max_records` records.
     pub fn new(max_bytes: usize, max_records: usize) -> Log {
         Log {
             records: VecDeque::new(),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Drops all records; the next ones start from `version`.
+    /// Drops all records. The next record applies to `version`.
     pub fn reset(&mut self, version: u64) {
         self.first = self.end();
         self.records.clear();
@@ -122,7 +122,7 @@
         self.records.get(usize::try_from(index).ok()?)
     }
 
-    /// Where a watcher that knows `version` resumes.
+    /// Looks up the position from which a watcher that knows `version` resumes.
     pub fn lookup(&self, version: u64) -> Lookup {
         if version < self.compacted_version {
             return Lookup::Compacted;
--- a/crates/distribution/src/random.rs
+++ b/crates/distribution/src/random.rs
@@ -1,5 +1,5 @@
-//! A deterministic random number generator: XXH3-64 of a counter, keyed by a seed. It spreads delays from head to head
-//! and from relay to relay; tests that fix the seed see the same history each time.
+//! A deterministic random number generator: XXH3-64 of a counter, keyed by a seed. Its numbers spread the delays of
+//! different heads and relays; a fixed seed makes simulations reproducible.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -14,7 +14,7 @@
 }
 
 impl CounterRandom {
-    /// The sequence of a seed.
+    /// Creates the sequence of a seed.
     pub(crate) fn new(seed: u64) -> CounterRandom {
         CounterRandom { seed, counter: 0 }
     }
--- a/crates/distribution/src/replica/entries.rs
+++ b/crates/distribution/src/replica/entries.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Entries {
     listed: BTreeMap<String, Entry>,
-    /// Names that upstream lists, of which nothing else could be parsed.
+    /// Names that upstream lists, whose other fields could not be parsed.
     name_only: BTreeSet<String>,
 }
 
@@ -40,18 +40,18 @@
         self.listed.get(name)
     }
 
-    /// All listed entries, by name.
+    /// All listed entries, ordered by name.
     pub(super) fn listed(&self) -> impl Iterator<Item = &Entry> {
         self.listed.values()
     }
 
-    /// The names of which nothing else could be parsed.
+    /// The names whose other fields could not be parsed.
     pub(super) fn name_only(&self) -> &BTreeSet<String> {
         &self.name_only
     }
 
-    /// Removes the name-only nodes that a list announces as gone, and returns their departures: a watcher may know
-    /// more of them than this replica.
+    /// Removes the name-only nodes that a list announces as gone, and returns their departures: a watcher may have a
+    /// full entry for such a node.
     pub(super) fn remove_departed_name_only(&mut self, list: &EndpointList) -> Vec<Entry> {
         let mut departures = Vec::new();
         for entry in &list.entries {
@@ -63,8 +63,8 @@
     }
 
     /// Stores the changes that membership accepted, and returns the entries to send to watchers. A list of changes is
-    /// passed on in full: a watcher at a version in between may need what looks unchanged from here. Of a complete
-    /// list only the difference is passed on.
+    /// passed on in full, because a watcher at an intermediate version may need an entry that equals the stored one. Of
+    /// a complete list only the entries that differ are passed on.
     pub(super) fn store(&mut self, changes: Vec<EntryChange>, kind: ListKind) -> Vec<Entry> {
         let mut updates = Vec::new();
         for change in changes {
@@ -90,14 +90,14 @@
         self.name_only.remove(name);
     }
 
-    /// Inserts an entry; returns whether it differs from the one before it.
+    /// Inserts an entry; returns whether it differs from the stored one.
     fn insert(&mut self, entry: Entry) -> bool {
         self.name_only.remove(&entry.name);
         let previous = self.listed.insert(entry.name.clone(), entry.clone());
         previous.as_ref() != Some(&entry)
     }
 
-    /// Fills the missing fields of an entry from the stored one. Only an entry that is not ready may lack any.
+    /// Fills the missing fields of an entry from the stored one. A ready entry is always complete.
     fn complete(&self, mut entry: Entry) -> Entry {
         if entry.state == NodeState::Ready {
             return entry;
--- a/crates/distribution/src/replica/lease.rs
+++ b/crates/distribution/src/replica/lease.rs
@@ -8,7 +8,7 @@
 }
 
 impl Lease {
-    /// A lease that was never renewed.
+    /// Creates a lease that was never renewed.
     pub(super) fn new(duration_s: f64) -> Lease {
         Lease { duration_s, last_contact: None }
     }
--- a/crates/distribution/src/replica/mod.rs
+++ b/crates/distribution/src/replica/mod.rs
@@ -1,5 +1,5 @@
-//! A relay's replica of the endpoint list: it applies the lists from upstream, logs what its watchers have to receive,
-//! and says how long it may be served as current.
+//! A relay's replica of the endpoint list: applies the lists from upstream, logs the resulting changes for the
+//! watchers, and tracks until when the list may be served as current.
 
 mod entries;
 mod lease;
@@ -16,7 +16,7 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// A list could not be encoded for watchers. What was sent before stays valid.
+/// A list could not be encoded for watchers. Lists that were sent before remain valid.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
     /// A list could not be written as JSON.
@@ -38,9 +38,9 @@
     pub unparsed: usize,
     /// The version of the replica now.
     pub version: u64,
-    /// Upstream was found to have restarted its numbering of versions: all watches have to end.
+    /// Whether upstream has restarted its version numbering: all watches have to end.
     pub renumbered: bool,
-    /// The list was older than the replica.
+    /// Whether the list was older than the replica.
     pub is_behind: bool,
 }
 
@@ -58,16 +58,16 @@
 /// How to serve a watcher that knows a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resume {
-    /// Not now: the replica is empty or its lease has expired.
+    /// Send nothing yet: the replica is empty or its lease has expired.
     NotCurrent,
-    /// With the records from this position on; see [`Replica::read`].
+    /// Send the records from this position on; see [`Replica::read`].
     Changes {
         /// The position of the first record.
         from: Position,
     },
-    /// With the complete list.
+    /// Send the complete list.
     Snapshot,
-    /// The watcher knows a newer version than this replica.
+    /// Wait for the replica to catch up: the watcher knows a newer version.
     WatcherAhead,
 }
 
@@ -82,7 +82,7 @@
     Compacted,
 }
 
-/// What the replica takes from a list before membership consumes it.
+/// The properties of a received list that are needed after membership has consumed it.
 #[derive(Debug)]
 struct ReceivedList {
     kind: ListKind,
@@ -103,7 +103,7 @@
     }
 }
 
-/// The step of the replica's version that a record describes.
+/// The versions of the replica before and after a record.
 #[derive(Clone, Copy, Debug)]
 struct VersionStep {
     from: u64,
@@ -116,7 +116,8 @@
         self.to > self.from
     }
 
-    /// A record that does not advance the version is for all watchers at that version or an older one.
+    /// The lowest version at which a watcher does not need the record. A record that does not advance the version is
+    /// also sent to watchers that already know that version.
     fn needed_below(self) -> u64 {
         if self.advances() { self.to } else { self.to + 1 }
     }
@@ -130,21 +131,21 @@
     membership: Membership,
     source: SourceCursor,
     entries: Entries,
-    /// Nodes that returned to ready without a newer version. They are sent once more with the next version, because a
-    /// head may rank their drain as recent as this.
+    /// Nodes that returned to ready without a newer version. They are sent again with the next version, because a head
+    /// may consider their drain to be as recent as the return.
     ready_to_repeat: BTreeSet<String>,
-    /// A list that was behind removed nodes: a complete list that is not behind has to confirm it.
+    /// Whether a list that was behind has changed entries: a complete list that is not behind has to confirm them.
     has_unconfirmed_changes: bool,
-    /// A complete list has arrived.
+    /// Whether a complete list has arrived.
     has_synced: bool,
     generation: u64,
     log: Log,
-    /// The encoded complete list of the present version, once it was asked for.
+    /// The cached encoding of the complete list; `None` if it was not requested since the last change.
     snapshot: Option<Bytes>,
 }
 
 impl Replica {
-    /// An empty replica.
+    /// Creates an empty replica whose lease was never renewed.
     pub fn new(limits: ReplicaLimits) -> Replica {
         Replica {
             lease: Lease::new(limits.lease_s),
@@ -161,17 +162,18 @@
         }
     }
 
-    /// The limits.
+    /// The limits of the replica and of its watchers.
     pub fn limits(&self) -> &ReplicaLimits {
         &self.limits
     }
 
-    /// The version of the replica.
+    /// The version of the list that the replica holds.
     pub fn version(&self) -> u64 {
         self.membership.version()
     }
 
-    /// How often the numbering of versions was restarted. Versions of different generations do not compare.
+    /// Number of times that earlier versions became invalid: when upstream restarted its version numbering, or a record
+    /// could not be encoded. Versions of different generations can't be compared.
     pub fn generation(&self) -> u64 {
         self.generation
     }
@@ -186,12 +188,12 @@
         &self.log
     }
 
-    /// The version after which upstream has to be watched.
+    /// The version after which the watch on upstream resumes.
     pub fn upstream_version(&self) -> u64 {
         self.source.version()
     }
 
-    /// Whether upstream has to be asked for its complete list rather than for changes.
+    /// Whether the complete list has to be requested from upstream, rather than changes.
     pub fn needs_relist(&self, now: f64) -> bool {
         if !self.has_synced || self.source.has_rewound(now) {
             return true;
@@ -199,7 +201,7 @@
         self.has_unconfirmed_changes && !self.source.is_behind()
     }
 
-    /// A message from upstream has arrived, a heartbeat or a list.
+    /// Renews the lease. To be called for each heartbeat from upstream; [`Replica::apply`] renews it for a list.
     pub fn renew_lease(&mut self, now: f64) {
         self.lease.renew(now);
     }
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Applies a list from upstream, and appends one record of what it changes.
+    /// Applies a list from upstream, renews the lease, and logs the changes as one record.
     ///
     /// # Errors
     ///
@@ -261,14 +263,15 @@
         Ok(applied)
     }
 
-    /// Nothing that was sent before leads to the present version.
+    /// Clears the log, the cached encoding and the scheduled repeats: no earlier record leads to the current version.
     fn reset_history(&mut self) {
         self.snapshot = None;
         self.ready_to_repeat.clear();
         self.log.reset(self.version());
     }
 
-    /// Records the names that could not be parsed and are not listed, so that a complete list does not remove them.
+    /// Records the names of unparsed entries that are not listed, so that the complete list sent to watchers does not
+    /// remove these nodes.
     fn update_name_only(&mut self, kind: ListKind, names: Vec<String>) {
         let replaces = kind == ListKind::Snapshot && !self.source.is_behind();
         let is_changed =
@@ -278,7 +281,7 @@
         }
     }
 
-    /// Records whether a list that was behind changed something that a newer complete list has to confirm.
+    /// Records whether a list that was behind changed entries that a newer complete list has to confirm.
     fn update_unconfirmed(&mut self, kind: ListKind, updates: &[Entry]) {
         if self.source.is_behind() {
             self.has_unconfirmed_changes |= !updates.is_empty();
@@ -297,7 +300,7 @@
         let text = match encode_changes(step.to, &updates) {
             Ok(text) => text,
             Err(source) => {
-                // No watcher may read on past a missing record.
+                // A new generation ends all watches: none may read past the missing record.
                 self.log.reset(step.to);
                 self.generation += 1;
                 return Err(ReplicaError::Encode { version: step.to, source });
@@ -312,13 +315,13 @@
         Ok(())
     }
 
-    /// Schedules the nodes that returned to ready without a newer version.
+    /// Schedules the nodes that returned to ready without a newer version to be sent again with the next version.
     fn schedule_repeats(&mut self, updates: &[Entry]) {
         let ready = updates.iter().filter(|entry| entry.state == NodeState::Ready);
         self.ready_to_repeat.extend(ready.map(|entry| entry.name.clone()));
     }
 
-    /// Adds the scheduled nodes to the updates that do not name them already.
+    /// Adds the scheduled nodes to the updates, unless the updates contain them already.
     fn append_repeats(&mut self, updates: &mut Vec<Entry>) {
         for name in std::mem::take(&mut self.ready_to_repeat) {
             if updates.iter().all(|entry| entry.name != name) {
@@ -327,7 +330,7 @@
         }
     }
 
-    /// The complete list as one line, encoded when it is first asked for and shared until the replica changes.
+    /// Returns the complete list as one encoded line. The encoding is cached until the replica changes.
     ///
     /// # Errors
     ///
@@ -343,7 +346,7 @@
         Ok(text)
     }
 
-    /// How to serve a watcher that knows a version.
+    /// Decides how to serve a watcher that knows the version `since`.
     pub fn resume(&self, since: u64, now: f64) -> Resume {
         if self.status(now) != ReplicaStatus::Current {
             return Resume::NotCurrent;
@@ -368,8 +371,8 @@
         }
     }
 
-    /// The encoded list without changes for a watcher at the replica's version: the protocol starts each watch with a
-    /// list.
+    /// The encoded list without changes, for a watcher at the replica's version: in the protocol each watch starts with
+    /// a list.
     pub fn no_changes(&self) -> Bytes {
         encode_no_changes(self.version())
     }
--- a/crates/distribution/src/selection/events.rs
+++ b/crates/distribution/src/selection/events.rs
@@ -1,4 +1,4 @@
-//! The messages between a selection and its caller: the actions that it directs, and why a watch was lost.
+//! The types exchanged between a selection and its caller: the actions to perform, and the reasons of lost watches.
 
 use super::watches::WatchId;
 use thiserror::Error;
@@ -6,23 +6,23 @@
 /// An action for the caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Directive {
-    /// Open a watch, at this time at the earliest, after the version that is known by then.
+    /// Open a watch, not before `at`, that resumes after the version that the head knows at that time.
     Open {
         /// The new watch.
         watch_id: WatchId,
-        /// The index of the relay in the list.
+        /// The index of the relay in [`Selection::relays`](super::Selection::relays).
         relay: usize,
-        /// In seconds of Unix time; never later than the poll that returned this.
+        /// The earliest time, in seconds of Unix time; never later than the poll that returned this directive.
         at: f64,
     },
-    /// Close a watch, open or not. Its loss is not to be reported.
+    /// Close a watch, whether it is open or still being opened. The caller must not report it as lost.
     Close {
-        /// The watch.
+        /// The watch to close.
         watch_id: WatchId,
     },
 }
 
-/// Why a watch was lost. Its text is what the log names.
+/// Why a watch was lost. The `Display` text is written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum LostReason {
     /// No connection, or a response that is not a watch.
@@ -34,7 +34,7 @@
     /// The connection broke.
     #[error("connection lost")]
     ConnectionLost,
-    /// The relay ended the watch in order: it is called again soon.
+    /// The relay ended the response without an error. This is no failure unless the watch was opened just before.
     #[error("ended by relay")]
     EndedByRelay,
     /// The relay is overloaded.
--- a/crates/distribution/src/selection/health.rs
+++ b/crates/distribution/src/selection/health.rs
@@ -12,12 +12,14 @@
 }
 
 impl RelayHealth {
-    /// The first failure after a stable watch: earlier failures do not count any more.
+    /// Resets the number of consecutive failures. To be called before the first failure after a stable watch is
+    /// recorded.
     pub(super) fn clear_failures(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// A watch on the relay has failed: backs off for half to all of a time that doubles with each failure.
+    /// Records a failed watch on the relay. The backoff is drawn from the upper half of a time that doubles with each
+    /// consecutive failure, up to [`SelectionTiming::backoff_max_s`].
     pub(super) fn record_failure(&mut self, now: f64, timing: &SelectionTiming, random: &mut CounterRandom) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         let doublings = f64::from(self.consecutive_failures - 1);
@@ -25,12 +27,12 @@
         self.backoff_until = now + random.uniform(longest / 2.0, longest);
     }
 
-    /// The relay has asked not to be called before a time.
+    /// Records that the relay has asked not to be called before `until`.
     pub(super) fn record_overload(&mut self, until: f64) {
         self.overloaded_until = until;
     }
 
-    /// Whether the relay has asked not to be called yet.
+    /// Whether the retry delay that the relay has asked for is still running.
     pub(super) fn is_overloaded(&self, now: f64) -> bool {
         now < self.overloaded_until
     }
--- a/crates/distribution/src/selection/mod.rs
+++ b/crates/distribution/src/selection/mod.rs
@@ -1,7 +1,7 @@
-//! Which relays a head watches. It holds two watches: on the best relay of its own zone, and on a spare elsewhere in the
-//! region. Where one is lost the other continues, and a new second watch is opened after a random delay, so that no
-//! remaining relay is overloaded. Where both are lost, or none was found yet, the head tries all relays in turn at a
-//! bounded rate.
+//! Selects the relays that a head watches. A head has two watches: on the best relay of its own zone, and on a spare in
+//! another zone of the region. If one watch is lost, the other one continues, and a new second watch is opened after a
+//! random delay, so that no remaining relay is overloaded. While no watch is open, the head tries all relays in turn at
+//! a bounded rate.
 
 mod events;
 mod health;
@@ -22,25 +22,25 @@
 pub use watches::WatchId;
 use watches::{Watch, WatchSet};
 
-/// Concurrent attempts to open a watch while no relay is reachable; the oldest one is cancelled for a new one.
+/// Limit on concurrent attempts to open a watch while no relay is reachable; a further attempt cancels the oldest one.
 const MAX_OPENING: usize = 6;
-/// Watches of a head.
+/// Number of open watches that a head maintains.
 const TARGET_WATCHES: usize = 2;
 /// The longest time between two polls, in seconds.
 const MAX_POLL_INTERVAL_S: f64 = 1.0;
-/// A relay that ends a watch within this time of its opening has failed, in seconds.
+/// A watch that its relay ends sooner than this after it was opened counts as a failure, in seconds.
 const SHORTEST_ORDERLY_WATCH_S: f64 = 1.0;
-/// The interval of a search is shortened by up to a fifth, so that heads do not call in step.
+/// The interval of a search is shortened by up to a fifth, so that heads do not call simultaneously.
 const MIN_SEARCH_INTERVAL_FRACTION: f64 = 0.8;
 
-/// The head that selects its relays.
+/// The name and the locality of the head, by which it ranks relays.
 #[derive(Clone, Debug)]
 struct HeadIdentity {
     name: String,
     locality: Locality,
 }
 
-/// The relays that one head watches, and its decisions to open, close and move watches.
+/// Decides for one head which watches on relays to open, close and move.
 #[derive(Debug)]
 pub struct Selection {
     head: HeadIdentity,
@@ -50,17 +50,18 @@
     /// The health of each relay.
     health: Vec<RelayHealth>,
     watches: WatchSet,
-    /// The search for a relay while none is reachable.
+    /// The search for a relay; `None` while a relay is reachable.
     search: Option<RelaySearch>,
-    /// When to open the second watch.
+    /// When to open the second watch, if that is scheduled.
     second_watch_due: Option<f64>,
-    /// When to move back to a better relay.
+    /// When to move back to a better relay, if that is scheduled.
     failback_due: Option<f64>,
     random: CounterRandom,
 }
 
 impl Selection {
-    /// A head without a relay yet, with the default timing. The seed spreads its delays from those of other heads.
+    /// Creates the selection of a head without a watch, with the default timing. Each head needs its own seed, so that
+    /// the delays of different heads are spread.
     ///
     /// # Errors
     ///
@@ -102,7 +103,7 @@
         })
     }
 
-    /// Replaces the list of relays. Watches on relays with the same name and address stay; the others are closed.
+    /// Replaces the list of relays. Watches on relays with the same name and address continue; the others are closed.
     ///
     /// # Errors
     ///
@@ -130,7 +131,7 @@
 
     fn adopt_watches(&mut self, previous: &Selection) -> Vec<Directive> {
         let mut directives = Vec::new();
-        self.watches = WatchSet::succeeding(&previous.watches);
+        self.watches = WatchSet::continuing_ids(&previous.watches);
         for watch in previous.watches.iter() {
             match self.index_of(&previous.relays[watch.relay]) {
                 Some(index) => self.watches.adopt(watch, index),
@@ -145,17 +146,17 @@
         self.relays.iter().position(|other| other.name == relay.name && other.address == relay.address)
     }
 
-    /// The timing.
+    /// The timeouts and delays in use.
     pub fn timing(&self) -> &SelectionTiming {
         &self.timing
     }
 
-    /// The relays.
+    /// The list of relays in use.
     pub fn relays(&self) -> &[RelayInfo] {
         &self.relays
     }
 
-    /// Number of open watches. At 0 the head serves with an earlier list.
+    /// Number of open watches. At 0 the head continues with the last list that it received.
     pub fn reachable_relays(&self) -> usize {
         self.watches.open_count()
     }
@@ -208,7 +209,7 @@
             LostReason::Unavailable | LostReason::IdleTimeout | LostReason::ConnectionLost => {
                 self.record_failure(&watch, now);
             }
-            // A relay that ends one watch after the other fails, too.
+            // A relay that ends each watch soon after its opening counts as failed, so that it gets a backoff.
             LostReason::EndedByRelay if !watch.has_been_open_for(SHORTEST_ORDERLY_WATCH_S, now) => {
                 self.record_failure(&watch, now);
             }
@@ -233,7 +234,7 @@
         self.second_watch_due = Some(due);
     }
 
-    /// The actions that are due by now.
+    /// Returns the actions that are due at `now`, for the caller to perform.
     pub fn poll(&mut self, now: f64) -> Vec<Directive> {
         let mut directives = Vec::new();
         self.expire_opening(now, &mut directives);
@@ -258,7 +259,7 @@
         directives.push(Directive::Close { watch_id });
     }
 
-    /// Closes a watch that took too long to open: its relay has failed.
+    /// Closes a watch that is still being opened, and records a failure of its relay.
     fn cancel_opening(&mut self, watch_id: WatchId, now: f64, directives: &mut Vec<Directive>) {
         self.watch_lost(watch_id, LostReason::IdleTimeout, now);
         directives.push(Directive::Close { watch_id });
@@ -273,24 +274,24 @@
         }
     }
 
-    /// No relay is reachable: tries the next one when that is due.
+    /// Tries the next relay if an attempt is due. To be called while no relay is reachable.
     fn search_relay(&mut self, now: f64, directives: &mut Vec<Directive>) {
         let mut search = match self.search.take() {
             Some(search) => search,
             None => self.start_search(now),
         };
-        // Drawn on every poll, also where no attempt is due: the order of random numbers is part of the histories that
-        // simulations compare by seed.
+        // Drawn on every poll, even if no attempt is due: the simulations' results for a seed depend on the sequence of
+        // random numbers.
         let fraction = self.random.uniform(MIN_SEARCH_INTERVAL_FRACTION, 1.0);
         let interval_s = fraction * self.timing.search_sweep_s / self.relays.len().max(1) as f64;
         let next = search.next(now, interval_s, |relay| self.health[relay].is_overloaded(now));
         self.search = Some(search);
         let Some(relay) = next else { return };
-        self.limit_opening(relay, now, directives);
+        self.cancel_competing_attempt(relay, now, directives);
         self.open(relay, now, directives);
     }
 
-    /// A search that tries the relays that have failed recently last.
+    /// Starts a search in the ranked order, with the relays that have failed recently at the end.
     fn start_search(&mut self, now: f64) -> RelaySearch {
         let mut order = self.ranking.primaries().to_vec();
         order.sort_by_key(|relay| self.health[*relay].has_failed_recently(now, &self.timing));
@@ -298,8 +299,8 @@
         RelaySearch::new(order, first_attempt_at)
     }
 
-    /// Cancels an earlier attempt on the same relay, or the oldest attempt if there are too many.
-    fn limit_opening(&mut self, relay: usize, now: f64, directives: &mut Vec<Directive>) {
+    /// Cancels an earlier attempt on the same relay, or the oldest attempt if there are [`MAX_OPENING`].
+    fn cancel_competing_attempt(&mut self, relay: usize, now: f64, directives: &mut Vec<Directive>) {
         let mut cancelled = self.watches.opening().find(|watch| watch.relay == relay);
         if cancelled.is_none() && self.watches.opening().count() >= MAX_OPENING {
             cancelled = self.watches.opening().min_by_key(|watch| watch.id);
@@ -309,7 +310,7 @@
         }
     }
 
-    /// At least one relay is reachable: opens the second watch, or moves back to a better relay.
+    /// Opens the second watch, or moves back to a better relay. To be called while a relay is reachable.
     fn maintain_watches(&mut self, now: f64, directives: &mut Vec<Directive>) {
         self.close_surplus_open(directives);
         self.close_surplus_opening(directives);
@@ -325,7 +326,7 @@
         }
     }
 
-    /// Closes the open watches beside the best pair of relays.
+    /// Closes the open watches on relays outside the best pair, until [`TARGET_WATCHES`] are left.
     fn close_surplus_open(&mut self, directives: &mut Vec<Directive>) {
         while self.reachable_relays() > TARGET_WATCHES {
             let pair = self.ranking.best_pair(|relay| self.watches.has_open(relay));
@@ -335,7 +336,7 @@
         }
     }
 
-    /// Closes all watches that are being opened but the newest.
+    /// Closes all watches that are being opened, except the newest one.
     fn close_surplus_opening(&mut self, directives: &mut Vec<Directive>) {
         let mut older: Vec<WatchId> = self.watches.opening().map(|watch| watch.id).collect();
         let newest = older.iter().max().copied();
@@ -353,7 +354,7 @@
         pair.into_iter().find(|relay| !self.watches.has_open(*relay))
     }
 
-    /// The relay of the second watch: one that has not failed recently, if there is any.
+    /// The relay for the second watch, preferably one that has not failed recently; `None` if no relay may be called.
     fn second_relay(&self, now: f64) -> Option<usize> {
         let is_healthy =
             |health: &RelayHealth| health.can_call(now) && !health.has_failed_recently(now, &self.timing);
@@ -370,7 +371,7 @@
             return;
         }
         let Some(relay) = self.second_relay(now) else {
-            // All others are in backoff or overloaded.
+            // All other relays are in backoff or overloaded.
             self.second_watch_due = Some(now + MAX_POLL_INTERVAL_S);
             return;
         };
@@ -378,7 +379,7 @@
         self.open(relay, now, directives);
     }
 
-    /// Opens a watch on a better relay; once that is open, the surplus watch is closed.
+    /// Opens a watch on a better relay after a random delay. Once that watch is open, the surplus one is closed.
     fn move_to_better_relay(&mut self, now: f64, directives: &mut Vec<Directive>) {
         let better = self.best_missing(|health| health.can_call(now));
         let is_settled = self.watches.open().all(|watch| watch.has_been_open_for(self.timing.settle_s, now));
--- a/crates/distribution/src/selection/ranking.rs
+++ b/crates/distribution/src/selection/ranking.rs
@@ -5,30 +5,31 @@
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Hashed first in a relay's weight as a primary, so that it is independent of its weight as a spare.
+/// The first hashed field of a relay's weight as a primary. It differs from [`SPARE_ROLE`], so that the two weights of
+/// a relay are independent.
 const PRIMARY_ROLE: &[u8] = b"primary";
-/// Hashed first in a relay's weight as a spare.
+/// The first hashed field of a relay's weight as a spare.
 const SPARE_ROLE: &[u8] = b"spare";
 /// Separates the hashed fields; the byte does not occur in UTF-8 text.
 const FIELD_SEPARATOR: &[u8] = &[0xff];
 
-/// The preferences of one head over a list of relays. Relays are indices into that list.
+/// The preferences of one head over a list of relays. Relays are identified by their index in that list.
 #[derive(Debug)]
 pub(super) struct Ranking {
-    /// All relays as primaries, the best first.
+    /// All relays in the order of preference as the primary.
     primaries: Vec<usize>,
-    /// For each primary, its spares, the best first.
+    /// For each relay as the primary, the other relays in the order of preference as its spare.
     spares: Vec<Vec<usize>>,
 }
 
 impl Ranking {
-    /// The preferences of a head.
+    /// Ranks the relays for a head.
     pub(super) fn new(head_name: &str, locality: &Locality, relays: &[RelayInfo]) -> Ranking {
         let spares = (0..relays.len()).map(|primary| rank_spares(head_name, locality, relays, primary));
         Ranking { primaries: rank(head_name, locality, relays), spares: spares.collect() }
     }
 
-    /// All relays as primaries, the best first.
+    /// All relays in the order of preference as the primary.
     pub(super) fn primaries(&self) -> &[usize] {
         &self.primaries
     }
@@ -49,7 +50,8 @@
     }
 }
 
-/// The indices of all relays as primaries, the best first: relays of the head's zone, then of its region, then the others.
+/// The indices of all relays as primaries, the best first: relays of the head's zone, then of its region, then the
+/// others.
 pub fn rank(head_name: &str, locality: &Locality, relays: &[RelayInfo]) -> Vec<usize> {
     let tier = |relay: &RelayInfo| {
         if relay.region != locality.region {
@@ -97,7 +99,8 @@
     hash.digest()
 }
 
-/// Indices sorted by a key; equal keys by name, so that the order is the same on every machine.
+/// The indices of the relays, sorted by a key and then by name, so that the order is the same on every machine and
+/// for any order of the list.
 fn sort_by_key<K: Ord>(relays: &[RelayInfo], key: impl Fn(&RelayInfo) -> K) -> Vec<usize> {
     let mut order: Vec<usize> = (0..relays.len()).collect();
     order.sort_by_cached_key(|index| (key(&relays[*index]), relays[*index].name.clone()));
--- a/crates/distribution/src/selection/relay_list.rs
+++ b/crates/distribution/src/selection/relay_list.rs
@@ -1,10 +1,10 @@
-//! The list of relays that a head may follow, and its validation.
+//! The list of relays that a head may watch, and its validation.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Where a head runs.
+/// The location of a head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Locality {
     /// Its region.
@@ -13,12 +13,13 @@
     pub zone: String,
 }
 
-/// One relay.
+/// A relay that heads may watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayInfo {
-    /// Its name, the key of its rank: a relay keeps its heads when its address changes.
+    /// Its unique name. The rank depends on the name, not on the address: a relay keeps its heads when its address
+    /// changes.
     pub name: String,
-    /// Its address. Relays with one IP address are assumed to share a machine.
+    /// Its unique address. Relays with the same IP address are assumed to share a machine.
     pub address: SocketAddr,
     /// Its region.
     pub region: String,
@@ -35,25 +36,25 @@
         /// The index of the relay.
         index: usize,
     },
-    /// Two relays have one name.
-    #[error("relay {index}: the name {name} is in use")]
+    /// Two relays have the same name.
+    #[error("relay {index}: duplicate name {name}")]
     DuplicateName {
-        /// The index of the later one.
+        /// The index of the later relay.
         index: usize,
         /// The name.
         name: String,
     },
-    /// Two relays have one address.
-    #[error("relay {index}: the address {address} is in use")]
+    /// Two relays have the same address.
+    #[error("relay {index}: duplicate address {address}")]
     DuplicateAddress {
-        /// The index of the later one.
+        /// The index of the later relay.
         index: usize,
         /// The address.
         address: SocketAddr,
     },
 }
 
-/// Checks that each relay has a name and an address of its own. An empty list is valid: its heads have no relay.
+/// Checks that each relay has a unique name and address. An empty list is valid.
 ///
 /// # Errors
 ///
--- a/crates/distribution/src/selection/search.rs
+++ b/crates/distribution/src/selection/search.rs
@@ -9,7 +9,7 @@
 }
 
 impl RelaySearch {
-    /// A search in this order whose first attempt is due at a time.
+    /// Creates a search in this order, whose first attempt is due at `first_attempt_at`.
     pub(super) fn new(order: Vec<usize>, first_attempt_at: f64) -> RelaySearch {
         RelaySearch { order, next_index: 0, next_attempt_at: first_attempt_at }
     }
@@ -19,8 +19,8 @@
         self.next_attempt_at
     }
 
-    /// The relay to try now, if an attempt is due; the next attempt follows after `interval_s`. Relays that are skipped
-    /// take no attempt.
+    /// Returns the relay to try now, if an attempt is due, and schedules the next attempt after `interval_s`. Skipped
+    /// relays do not use up an attempt.
     pub(super) fn next(
         &mut self,
         now: f64,
--- a/crates/distribution/src/selection/timing.rs
+++ b/crates/distribution/src/selection/timing.rs
@@ -1,34 +1,35 @@
 //! The timeouts, delays and backoff of a head's watches on relays.
 
-/// Timeouts and delays of a head, in seconds. A delay "up to" a value is drawn uniformly from 0 to it, to spread the
-/// fleet's calls.
+/// Timeouts and delays of a head, in seconds. A delay with a maximum is drawn uniformly between 0 and the maximum, to
+/// spread the calls of the heads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SelectionTiming {
-    /// A head without a relay tries each of them once in this time.
+    /// While no relay is reachable, a head tries each relay once in this time.
     pub search_sweep_s: f64,
-    /// Delay of the first attempt without a relay, up to this: at the planned size, where a whole region's relays are
-    /// lost, 210 calls a second to each relay of the other region.
+    /// Maximum delay of the first attempt while no relay is reachable. At the planned fleet size, the loss of all
+    /// relays of a region causes 210 calls per second to each relay of the other region.
     pub first_attempt_delay_s: f64,
-    /// Delay of opening the second watch, up to this: at the planned size, where one relay is lost, 5 calls a second to
-    /// each other relay of the region if they were spread evenly.
+    /// Maximum delay of opening the second watch. At the planned fleet size, the loss of one relay causes 5 calls per
+    /// second to each other relay of the region if they are spread evenly.
     pub second_watch_delay_s: f64,
-    /// Delay of moving back to a better relay, up to this.
+    /// Maximum delay of moving back to a better relay.
     pub failback_delay_s: f64,
-    /// A head moves back only after both its watches have been open for this time: a head takes about 10 s on one watch
-    /// to learn that a source has restarted its numbering, and starts over on another watch.
+    /// A head moves back only after both its watches have been open for this time. It takes about 10 s on one watch to
+    /// detect that a source has restarted its numbering, and a move to another watch restarts that detection.
     pub settle_s: f64,
     /// Timeout of opening a watch.
     pub open_timeout_s: f64,
     /// A watch without any message for this time is lost: a heartbeat is due every 2 s, so two may be missed. The
     /// caller detects it; see [`super::LostReason::IdleTimeout`].
     pub idle_timeout_s: f64,
-    /// Backoff of a relay after its first failure: half to all of this, doubled with each further failure.
+    /// Maximum backoff after the first failure of a relay; it doubles with each further failure. The backoff is drawn
+    /// between half the maximum and the maximum.
     pub backoff_base_s: f64,
-    /// Upper limit of the backoff.
+    /// Limit of the doubled backoff.
     pub backoff_max_s: f64,
-    /// A watch that was open for this time clears the earlier failures of its relay.
+    /// A watch that was open for this time resets the failures of its relay.
     pub stable_s: f64,
-    /// Failures of a relay lower its preference for this time after its backoff.
+    /// How long after its backoff a failed relay is less preferred than relays without failures.
     pub failure_memory_s: f64,
 }
 
--- a/crates/distribution/src/selection/watches.rs
+++ b/crates/distribution/src/selection/watches.rs
@@ -27,7 +27,8 @@
     }
 }
 
-/// The watches of one head. The order of the watches is part of the decisions that simulations compare by seed.
+/// The watches of one head. Decisions depend on the order of the watches, and with them the simulations' results for a
+/// seed.
 #[derive(Debug, Default)]
 pub(super) struct WatchSet {
     watches: Vec<Watch>,
@@ -35,12 +36,12 @@
 }
 
 impl WatchSet {
-    /// An empty set that continues the ids of an earlier one.
-    pub(super) fn succeeding(earlier: &WatchSet) -> WatchSet {
-        WatchSet { watches: Vec::new(), last_id: earlier.last_id }
+    /// Creates an empty set that continues the ids of a previous set.
+    pub(super) fn continuing_ids(previous: &WatchSet) -> WatchSet {
+        WatchSet { watches: Vec::new(), last_id: previous.last_id }
     }
 
-    /// Starts to open a watch.
+    /// Adds a watch that is being opened since `now`.
     pub(super) fn start(&mut self, relay: usize, now: f64) -> WatchId {
         self.last_id += 1;
         let id = WatchId(self.last_id);
@@ -48,12 +49,12 @@
         id
     }
 
-    /// Adds a watch of an earlier set whose relay has another index now.
+    /// Adds a watch of a previous set, with the new index of its relay.
     pub(super) fn adopt(&mut self, watch: &Watch, relay: usize) {
         self.watches.push(Watch { relay, ..*watch });
     }
 
-    /// The first message of a watch has arrived.
+    /// Records that the first message of a watch has arrived.
     pub(super) fn mark_open(&mut self, id: WatchId, now: f64) {
         if let Some(watch) = self.watches.iter_mut().find(|watch| watch.id == id) {
             watch.open_since.get_or_insert(now);
--- a/crates/distribution/src/snapshot_admission.rs
+++ b/crates/distribution/src/snapshot_admission.rs
@@ -1,7 +1,7 @@
-//! Admission control of the complete lists that a relay sends. A relay that restarts empty while all its heads request
-//! the complete list stays bounded in memory and in bytes sent per second: some lists are sent at once, the other requests
-//! wait in a first-in first-out queue, and requests beyond its bound are rejected with a retry delay. Watches that resume
-//! from the log are not counted here.
+//! Admission control of the complete lists that a relay sends. It bounds memory and bytes sent per second when a relay
+//! restarts empty while all its heads request the complete list: a limited number of lists is sent concurrently,
+//! further requests wait in a first-in first-out queue, and requests beyond the queue's limit are rejected with a retry
+//! delay. Watches that resume from the log are not limited here.
 
 use crate::random::CounterRandom;
 use std::collections::VecDeque;
@@ -9,13 +9,15 @@
 /// Limits of the complete lists that are sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotLimits {
-    /// Concurrent sends. Each may hold the text of an older version: at 1 MB a list 16 MB at most.
+    /// Limit on concurrent sends. Each may hold the encoding of an older version in memory: 16 sends of 1 MB each hold
+    /// at most 16 MB.
     pub max_sending: usize,
-    /// Queued requests, each for 8 bytes here and its connection: all heads of the planned size on one relay.
+    /// Limit on queued requests, enough for all heads of the planned fleet on one relay. A queued request takes only
+    /// its id and size in memory, beside its open connection.
     pub max_queued: usize,
-    /// Bytes sent per second: 40% of a 1 Gbit/s link, so that changes go out beside them.
+    /// Limit on bytes sent per second: 40% of a 1 Gbit/s link, which leaves the rest to changes.
     pub bytes_per_s: f64,
-    /// Time limit of one send, in seconds, so that slow readers do not block the others.
+    /// Time limit of one send, in seconds, so that slow readers do not block other requests.
     pub send_timeout_s: f64,
     /// Rejected clients retry after a random delay between one and two times this, in seconds.
     pub retry_delay_s: f64,
@@ -40,7 +42,7 @@
 /// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SnapshotDecision {
-    /// Send it now, and call [`SnapshotAdmission::finish`] when that has ended.
+    /// Send the list now, and call [`SnapshotAdmission::finish`] after the send.
     Admitted(SnapshotRequestId),
     /// Wait until [`SnapshotAdmission::poll`] returns this request.
     Queued(SnapshotRequestId),
@@ -65,20 +67,20 @@
     started_at: f64,
 }
 
-/// The complete lists that are being sent, and the queue of requests.
+/// The admission control of one relay: the complete lists that are being sent, and the queue of requests.
 #[derive(Debug)]
 pub struct SnapshotAdmission {
     limits: SnapshotLimits,
     sending: Vec<ActiveSend>,
     queue: VecDeque<QueuedRequest>,
-    /// When the byte rate lets the next send start.
+    /// When the limit on bytes per second allows the next send to start.
     rate_free_at: f64,
     last_id: u64,
     random: CounterRandom,
 }
 
 impl SnapshotAdmission {
-    /// No requests yet. The seed spreads the retry delays of different relays.
+    /// Creates an admission control without requests. Each relay needs its own seed, so that retry delays are spread.
     pub fn new(limits: SnapshotLimits, seed: u64) -> SnapshotAdmission {
         SnapshotAdmission {
             limits,
@@ -118,20 +120,21 @@
         admitted
     }
 
-    /// A list was sent, or its client has gone.
+    /// Removes a request whose list was sent, or whose client has disconnected.
     pub fn finish(&mut self, id: SnapshotRequestId) {
         self.sending.retain(|send| send.id != id);
         self.queue.retain(|request| request.id != id);
     }
 
-    /// The sends over the time limit: their watches have to end, and [`SnapshotAdmission::finish`] be called.
+    /// The sends that exceed the time limit. The caller has to end their watches and call
+    /// [`SnapshotAdmission::finish`].
     pub fn timed_out(&self, now: f64) -> Vec<SnapshotRequestId> {
         let late = self.sending.iter().filter(|send| now - send.started_at >= self.limits.send_timeout_s);
         late.map(|send| send.id).collect()
     }
 
-    /// When [`SnapshotAdmission::poll`] may admit the next request; `None` if the queue is empty, or waits for the end of
-    /// a send rather than for the byte rate.
+    /// When [`SnapshotAdmission::poll`] may admit the next request; `None` if the queue is empty, or if the number of
+    /// concurrent sends is at its limit.
     pub fn next_poll(&self) -> Option<f64> {
         let waits_for_rate = self.sending.len() < self.limits.max_sending && !self.queue.is_empty();
         waits_for_rate.then_some(self.rate_free_at)
--- a/crates/distribution/src/update_filter.rs
+++ b/crates/distribution/src/update_filter.rs
@@ -1,17 +1,17 @@
-//! Filters the updates of a head that watches two relays at once. Each relay delivers the versions in order, but one may
-//! lag behind the other. A stale update would take nodes out of service for a moment, and an update that jumps over a
-//! version received from the other relay may lack what changed and changed back.
+//! Filters the updates of a head that watches two relays at once. Each relay delivers the versions in order, but one
+//! may lag behind the other. A stale update would take nodes out of service for a moment, and an update that skips a
+//! version received from the other relay may omit a node that changed in that version and changed back since.
 
 use flaxgap_membership::SourceCursor;
 
 /// What to do with an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Apply it, with [`UpdateFilter::source`].
+    /// Pass the update to membership, with [`UpdateFilter::source`].
     Apply,
-    /// Drop it: all of its content is known.
+    /// Drop the update: its content is already known.
     Duplicate,
-    /// Drop it, end this watch and watch the same relay again from the known version.
+    /// Drop the update, end this watch and watch the same relay again from the known version.
     Rewatch,
 }
 
@@ -23,17 +23,18 @@
 }
 
 impl UpdateFilter {
-    /// The filter of a watch that starts after a version; 0 for the complete list.
+    /// Creates the filter of a watch that resumes after version `since`; 0 if it starts with the complete list.
     pub fn new(since: u64) -> UpdateFilter {
         UpdateFilter { source: SourceCursor::at(since), received_version: since }
     }
 
-    /// What membership records of this watch.
+    /// The cursor in which membership tracks the versions of this watch.
     pub fn source(&mut self) -> &mut SourceCursor {
         &mut self.source
     }
 
-    /// The same relay is watched again, after a version; 0 for the complete list. Whether it lags behind is retained.
+    /// Resets the filter for a new watch on the same relay that resumes after version `since`; 0 if it starts with the
+    /// complete list. Whether the relay lags behind is retained.
     pub fn restart(&mut self, since: u64) {
         self.received_version = since;
     }
@@ -43,9 +44,9 @@
         self.source.has_rewound(now)
     }
 
-    /// Decides on an update of this watch, by its version, whether it is a complete list, and the version that membership
-    /// has reached. Once a complete list has shown the relay to lag behind, all its updates are applied: membership
-    /// decides on each entry.
+    /// Decides on an update of this watch, by its version, whether it is a complete list, and the version that
+    /// membership has reached. Once a complete list has shown the relay to lag behind, all its updates are applied:
+    /// membership decides on each entry.
     pub fn evaluate(&mut self, version: u64, is_complete: bool, known_version: u64) -> Verdict {
         let previous_version = std::mem::replace(&mut self.received_version, version);
         if is_complete || self.source.is_behind() {
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -1,5 +1,5 @@
-//! The state machine of one watch on a replica: its position, what is sent next, and when it ends. It owns no text; what
-//! it sends is shared with all other watches.
+//! The state machine of one watch on a replica: its position in the log, the next action, and the end of the watch. The
+//! encoded lines that it sends are shared with all other watches.
 
 use crate::log::Position;
 use crate::replica::{ReadRecord, Replica, ReplicaError, ReplicaStatus, Resume};
@@ -10,37 +10,37 @@
 pub enum EndReason {
     /// Upstream restarted its numbering of versions.
     Renumbered,
-    /// The record at its position was compacted.
+    /// The record at the watch's position was compacted.
     TooFarBehind,
-    /// Its reader took nothing for too long.
+    /// The reader accepted no data for too long.
     SlowReader,
 }
 
-/// What a watch has to do next.
+/// The next action of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchAction {
     /// Send this line, and poll again.
     Send(Bytes),
-    /// Send an empty line, and poll again.
+    /// Send a heartbeat (an empty line), and poll again.
     Heartbeat,
     /// Request the admission of a complete list ([`crate::snapshot_admission`]), then send [`Watcher::take_snapshot`].
     /// Returned once; until the list is taken the watch sends heartbeats.
     RequestSnapshot,
     /// Poll again at this time, or when the replica or its lease has changed.
     Wait {
-        /// In seconds of Unix time.
+        /// The time, in seconds of Unix time.
         until: f64,
     },
     /// End the watch.
     End(EndReason),
 }
 
-/// What to do with a watch whose reader takes nothing.
+/// The action for a watch whose reader accepts no data.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StallAction {
-    /// Check again at this time if the reader still takes nothing.
+    /// Check again at this time if the write is still stalled.
     Wait {
-        /// In seconds of Unix time.
+        /// The time, in seconds of Unix time.
         until: f64,
     },
     /// End the watch.
@@ -50,17 +50,17 @@
 /// The state of a watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WatchState {
-    /// The client knows a version, and nothing was sent yet.
+    /// Nothing but heartbeats was sent yet; the client knows the version `since`.
     Starting { since: u64, started_at: f64 },
-    /// It needs the complete list, and has to request it again: the last request could not be served.
+    /// The complete list has to be requested again: the last request could not be served.
     SnapshotNeeded,
-    /// It has requested the complete list.
+    /// The complete list was requested and is not sent yet.
     SnapshotRequested,
     /// The record at this position is sent next.
     Following(Position),
 }
 
-/// One watch.
+/// The state machine of one watch.
 #[derive(Debug)]
 pub struct Watcher {
     generation: u64,
@@ -70,13 +70,14 @@
 }
 
 impl Watcher {
-    /// A watch after a version, on a replica of this generation.
+    /// Creates a watch that resumes after version `since`, on a replica of this generation.
     pub fn new(since: u64, generation: u64, now: f64) -> Watcher {
         let state = WatchState::Starting { since, started_at: now };
         Watcher { generation, state, next_heartbeat_at: now, stalled_since: None }
     }
 
-    /// The next action, polled once all that was sent before was taken. Nothing is sent while the replica is not current.
+    /// Returns the next action. To be called once the reader has accepted all data that was sent before. Nothing is
+    /// sent while the replica is not current.
     pub fn poll(&mut self, replica: &Replica, now: f64) -> WatchAction {
         self.stalled_since = None;
         if replica.generation() != self.generation {
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Each watch starts with a list: one without changes if the log has none.
+    /// Follows the log from a position. The protocol starts each watch with a list, so a list without changes is sent
+    /// if the log has no record there.
     fn start_following(&mut self, from: Position, replica: &Replica, now: f64) -> WatchAction {
         self.state = WatchState::Following(from);
         match self.follow(from, replica, now) {
@@ -142,8 +144,9 @@
         self.next_heartbeat_at = now + replica.limits().heartbeat_s;
     }
 
-    /// The complete list, once its request was admitted; the watch follows the log after it. `None` if the replica is not
-    /// current, or of another generation: this request is finished, and [`Watcher::poll`] returns what is needed.
+    /// Returns the complete list, after its request was admitted; the watch continues with the log. Returns `None` if
+    /// the replica is not current or has another generation: the request is used up, and [`Watcher::poll`] returns the
+    /// next action.
     ///
     /// # Errors
     ///
@@ -159,12 +162,12 @@
         Ok(Some(text))
     }
 
-    /// The reader has taken a part of what was sent.
+    /// Reports that the reader has accepted data.
     pub fn write_progressed(&mut self) {
         self.stalled_since = None;
     }
 
-    /// The reader takes nothing of what was sent.
+    /// Reports that the reader accepts no data, and returns whether the watch waits or ends.
     pub fn write_stalled(&mut self, replica: &Replica, now: f64) -> StallAction {
         if replica.generation() != self.generation {
             return StallAction::End(EndReason::Renumbered);
@@ -185,7 +188,8 @@
     }
 }
 
-/// Nothing is sent while the lease is expired; the replica's caller polls again once it is renewed.
+/// The action while the replica is empty or its lease has expired: the watch waits, and is polled again when the lease
+/// is renewed.
 fn wait_for_lease(replica: &Replica, now: f64) -> WatchAction {
     WatchAction::Wait { until: now + replica.limits().heartbeat_s }
 }
