--- a/src/bin/flaxgap-relay/connection.rs
+++ b/src/bin/flaxgap-relay/connection.rs
@@ -1,5 +1,5 @@
-//! The connection of a client, which closes itself when its reader is too slow: whether each write progresses or stalls
-//! is reported to the session that is served on it.
+//! The connection of a client. It reports to the session that is served on it whether writes progress or stall, and
+//! fails when the session's reader is too slow.
 
 use crate::session::Session;
 use crate::session_handle::SessionHandle;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Joins a connection to the session that is served on it, once there is one.
+/// Links a connection to the session that is served on it. There is no session until a request has opened one.
 #[derive(Default)]
 pub struct SessionLink {
     handle: Rc<SessionHandle>,
--- a/src/bin/flaxgap-relay/counters.rs
+++ b/src/bin/flaxgap-relay/counters.rs
@@ -3,17 +3,17 @@
 use flaxgap::discovery::client::Traffic;
 use std::cell::Cell;
 
-/// A count that only grows.
+/// A monotonic counter.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Adds to the count.
+    /// Increases the counter.
     pub fn add(&self, increment: u64) {
         self.0.set(self.0.get() + increment);
     }
 
-    /// The count.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -22,23 +22,23 @@
 /// All counters of one relay.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Bytes of response bodies that connections took.
+    /// Bytes of response bodies that were passed to connections.
     pub bytes_sent: Counter,
     /// Bytes received from upstream.
     pub bytes_received: Counter,
     /// Complete lists sent.
     pub snapshots_sent: Counter,
-    /// Watches that resumed from a version they had.
+    /// Watches that were opened without a request for the complete list.
     pub resumed: Counter,
-    /// Lists from upstream that changed something.
+    /// Lists from upstream that changed entries.
     pub changes: Counter,
     /// Heartbeats (empty lines) sent.
     pub heartbeats: Counter,
-    /// Watches ended because their reader was too slow.
+    /// Responses ended because their reader was too slow.
     pub slow_readers_ended: Counter,
-    /// How often the lease expired.
+    /// Number of times that the lease has expired.
     pub lease_expired: Counter,
-    /// Requests answered with 503.
+    /// Requests for the list that were answered with status 503.
     pub rejected: Counter,
     /// Messages from upstream, or parts of them, that could not be parsed.
     pub unparsed: Counter,
--- a/src/bin/flaxgap-relay/http.rs
+++ b/src/bin/flaxgap-relay/http.rs
@@ -24,19 +24,20 @@
 const TARGETS_PATH: &str = "/api/targets";
 /// Path of the readiness check.
 const READY_PATH: &str = "/-/ready";
-/// Path of the state and the counters.
+/// Path of the status report with the counters.
 const COUNTERS_PATH: &str = "/-/counters";
 /// How long the head of a request may take to arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after the system would not give a connection.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Longest head of a request, and how much of a response a connection buffers beyond the socket, in bytes: a reader that
-/// takes nothing is noticed by what stays behind that.
+/// Limit on the size of a request head, and on the response data that a connection buffers in addition to the socket's
+/// buffer, in bytes. A stalled reader is detected only once both buffers are full.
 const CONNECTION_BUFFER_BYTES: usize = 16 * 1024;
-/// Send buffer of the system for one watcher, in bytes, of which it takes twice as much for its own use. Left to itself
-/// it grows to some MiB for a reader that takes nothing. Over 30 ms between regions it lets 4 MB/s through.
+/// Send buffer of a connection's socket, in bytes; the kernel doubles this value for its bookkeeping. With the kernel's
+/// automatic sizing the buffer grows to some MiB for a reader that accepts nothing. At a delay of 30 ms between regions
+/// this size allows 4 MB/s.
 const SEND_BUFFER_BYTES: usize = 128 * 1024;
-/// A connection whose sent data is not acknowledged for so long has failed.
+/// A connection fails if sent data is not acknowledged within this time.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Accepts connections for as long as it is polled.
@@ -52,7 +53,7 @@
     }
 }
 
-/// Serves the one request of a connection.
+/// Serves a connection, on which only one request is allowed.
 async fn serve_connection(relay: Rc<Relay>, socket: TcpStream) {
     let _guard = relay.connections().open();
     if let Err(error) = set_socket_options(&socket) {
@@ -109,7 +110,7 @@
     }
 }
 
-/// The complete list once, or a watch.
+/// The response to a request for the complete list or for a watch.
 fn targets_response(
     relay: &Rc<Relay>,
     request: &Request<Incoming>,
@@ -131,7 +132,7 @@
     }
 }
 
-/// An invalid query of a request for the list; the client's fault.
+/// An invalid query of a request for the list, which is answered with status 400.
 #[derive(Debug, Error)]
 enum QueryError {
     #[error("since: {value} is no version")]
--- a/src/bin/flaxgap-relay/main.rs
+++ b/src/bin/flaxgap-relay/main.rs
@@ -22,16 +22,16 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Follows a source of the node list and serves it to heads.
+/// Watches a source of the endpoint list and serves the list to heads.
 #[derive(Debug, Parser)]
 #[command(
     name = "flaxgap-relay",
     version,
-    after_help = "Example:\n  flaxgap-relay deploy/relay.toml\n\nSIGTERM ends it, SIGUSR1 logs its counters. \
-                  The level of the log is set by RUST_LOG."
+    after_help = "Example:\n  flaxgap-relay deploy/relay.toml\n\nSIGTERM stops the relay, SIGUSR1 logs its \
+                  counters. RUST_LOG sets the log level."
 )]
 struct Arguments {
-    /// The configuration, a TOML file; deploy/relay.toml explains every setting.
+    /// The configuration file, in TOML; deploy/relay.toml documents every setting.
     config: PathBuf,
 }
 
--- a/src/bin/flaxgap-relay/open_connections.rs
+++ b/src/bin/flaxgap-relay/open_connections.rs
@@ -1,10 +1,10 @@
-//! Counts the open connections, so that a shutdown can wait for their end.
+//! Counts the open connections, so that a shutdown can wait until they are closed.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The number of open connections.
+/// The counter of open connections.
 #[derive(Debug, Default)]
 pub struct OpenConnections {
     count: Cell<usize>,
@@ -31,7 +31,7 @@
     }
 }
 
-/// One open connection.
+/// Counts one connection as open until it is dropped.
 #[derive(Debug)]
 pub struct ConnectionGuard(Rc<OpenConnections>);
 
--- a/src/bin/flaxgap-relay/relay.rs
+++ b/src/bin/flaxgap-relay/relay.rs
@@ -1,5 +1,4 @@
-//! The state that all parts of a relay share. Each field owns one concern; [`Relay`] joins them and says whether heads
-//! are served.
+//! The state that all parts of a relay share: its replica, sessions, connections and counters.
 
 use crate::counters::Counters;
 use crate::open_connections::OpenConnections;
@@ -16,7 +15,7 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Why a request is answered with 503.
+/// Why a request is answered with status 503.
 #[derive(Debug, Error)]
 pub enum Unavailable {
     /// No complete list has arrived since the start.
@@ -55,7 +54,7 @@
     }
 }
 
-/// The state of a relay.
+/// The shared state of a relay.
 pub struct Relay {
     settings: RelaySettings,
     clock: Clock,
@@ -68,7 +67,7 @@
 }
 
 impl Relay {
-    /// A relay without a list.
+    /// Creates the state of a relay that has not received a list.
     pub fn new(settings: RelaySettings) -> Rc<Relay> {
         let clock = Clock::start();
         let counters = Rc::<Counters>::default();
@@ -89,17 +88,17 @@
         })
     }
 
-    /// The configuration.
+    /// The configuration with which the relay was started.
     pub fn settings(&self) -> &RelaySettings {
         &self.settings
     }
 
-    /// Seconds of Unix time.
+    /// The current time, in seconds of Unix time.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// The instant of a time in seconds of Unix time.
+    /// Converts a time in seconds of Unix time to the runtime's clock.
     pub fn instant(&self, at: f64) -> Instant {
         self.clock.instant(at)
     }
@@ -109,12 +108,12 @@
         self.replica.borrow()
     }
 
-    /// The replica of the list, to change it.
+    /// The replica of the list, for modification.
     pub fn replica_mut(&self) -> RefMut<'_, Replica> {
         self.replica.borrow_mut()
     }
 
-    /// The requests for the complete list.
+    /// The queue of requests for the complete list.
     pub fn snapshots(&self) -> &SnapshotQueue {
         &self.snapshots
     }
@@ -129,7 +128,7 @@
         &self.connections
     }
 
-    /// The counters.
+    /// The relay's counters.
     pub fn counters(&self) -> &Rc<Counters> {
         &self.counters
     }
@@ -145,7 +144,7 @@
         self.is_shutting_down.get()
     }
 
-    /// Whether heads are served, or why not.
+    /// Checks whether requests can be served; the error is the reason why not.
     pub fn availability(&self) -> Result<(), Unavailable> {
         if self.is_shutting_down() {
             return Err(Unavailable::ShuttingDown);
@@ -163,7 +162,7 @@
         }
     }
 
-    /// The state and the counters at this moment.
+    /// A report of the current state and counters.
     pub fn status(&self) -> StatusReport {
         let replica = self.replica();
         let counters = &self.counters;
@@ -192,7 +191,7 @@
     }
 }
 
-/// A random number from the system's source that also seeds hash tables.
+/// A random seed, derived from the random keys with which the standard library seeds hash tables.
 pub fn random_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
--- a/src/bin/flaxgap-relay/response_body.rs
+++ b/src/bin/flaxgap-relay/response_body.rs
@@ -9,26 +9,26 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 
-/// What is left to send.
+/// The data that is left to send.
 enum Content {
     Text(Option<Bytes>),
     Session(Rc<Session>),
 }
 
-/// A response body that counts the bytes that the connection takes.
+/// A response body that counts the bytes that are passed to the connection.
 pub struct ResponseBody {
     content: Content,
     counters: Rc<Counters>,
 }
 
 impl ResponseBody {
-    /// A text that is sent as a whole.
+    /// Creates a body of one text.
     pub fn text(text: impl Into<Bytes>, counters: Rc<Counters>) -> ResponseBody {
         let text = Some(text.into()).filter(|text| !text.is_empty());
         ResponseBody { content: Content::Text(text), counters }
     }
 
-    /// The stream of a session.
+    /// Creates a body that streams the parts of a session.
     pub fn session(session: Rc<Session>, counters: Rc<Counters>) -> ResponseBody {
         ResponseBody { content: Content::Session(session), counters }
     }
--- a/src/bin/flaxgap-relay/server.rs
+++ b/src/bin/flaxgap-relay/server.rs
@@ -1,4 +1,4 @@
-//! The run of a relay from start to shutdown: the listener, the signals, and the tasks that run beside each other.
+//! Runs a relay from start to shutdown: the listener, the signal handlers and the concurrent tasks.
 
 use crate::http;
 use crate::relay::Relay;
@@ -14,15 +14,16 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// Connections that the system queues until they are accepted: heads that lose a relay call another together.
+/// Limit on connections that the kernel queues until they are accepted. It is large because all heads that lose a relay
+/// call another one at about the same time.
 const LISTEN_BACKLOG: u32 = 1024;
-/// How long connections may take to end after SIGTERM.
+/// How long connections may take to close after SIGTERM.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why the relay could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The configuration is invalid.
+    /// The configuration can't be read or is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The listener could not be opened.
@@ -77,7 +78,7 @@
         () = http::accept_connections(relay, &listener) => {}
         () = UpstreamFollower::new(relay).run() => {}
         () = relay.snapshots().run() => {}
-        () = log_counters_on(log_counters, relay) => {}
+        () = log_counters_on_signal(log_counters, relay) => {}
         () = ignore_hangup(hangup) => {}
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -88,20 +89,21 @@
     Ok(())
 }
 
-async fn log_counters_on(mut requested: Signal, relay: &Relay) {
+async fn log_counters_on_signal(mut requested: Signal, relay: &Relay) {
     while requested.recv().await.is_some() {
         log::info!("relay: {}", relay.status().to_json());
     }
 }
 
-/// SIGHUP reloads the configuration of a head; sent to a relay out of habit, it must not end it.
+/// Ignores SIGHUP, by which a head reloads its configuration: without a handler the signal would terminate a relay to
+/// which an operator sends it by mistake.
 async fn ignore_hangup(mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         log::warn!("relay: SIGHUP ignored, a changed configuration takes a restart");
     }
 }
 
-/// Ends all sessions and waits for their connections; heads go to other relays.
+/// Ends all sessions, so that heads move to other relays, and waits until the connections are closed.
 async fn shut_down(relay: &Relay) {
     relay.begin_shutdown();
     let connections = relay.connections();
@@ -117,7 +119,8 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Raises the soft limit on descriptors to the hard one: every watcher takes one, and the usual soft limit is 1,024.
+/// Raises the soft limit on file descriptors to the hard limit: each watch needs a descriptor, and the usual soft limit
+/// is 1,024.
 fn raise_descriptor_limit() {
     let mut limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     limit.current = limit.maximum;
--- a/src/bin/flaxgap-relay/session.rs
+++ b/src/bin/flaxgap-relay/session.rs
@@ -1,5 +1,5 @@
-//! One request for the list that is being served: a watch, or the complete list once. [`Watcher`] decides what is sent
-//! next; its texts are shared by all sessions.
+//! Serves one request for the list: a watch, or the complete list once. [`Watcher`] decides which line is sent next;
+//! the encoded lines are shared by all sessions.
 
 use crate::relay::{Relay, Unavailable};
 use crate::session_handle::SessionHandle;
@@ -15,26 +15,26 @@
 use std::task::{Context, Poll, ready};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// An empty line: the relay is alive and has nothing new.
+/// A heartbeat in the discovery protocol: an empty line.
 const HEARTBEAT: Bytes = Bytes::from_static(b"\n");
 
-/// The progress of the complete list in a session.
+/// The progress of a session's request for the complete list.
 #[derive(Clone, Copy)]
 enum SnapshotProgress {
-    /// The session does not need it.
+    /// The session has not requested the list.
     NotNeeded,
-    /// It is queued, or was admitted and is sent next.
+    /// The request is queued, or was admitted and the list is sent next.
     Requested(SnapshotRequestId),
-    /// The connection is sending it, until it asks for more.
+    /// The list was passed to the connection, which is sending it until it polls for more data.
     Sending(SnapshotRequestId),
-    /// It was sent, or could not be sent.
+    /// The list was sent, or could not be sent.
     Finished,
 }
 
 /// The next part of a session's response body; `None` at its end.
 type NextPart = Option<io::Result<Bytes>>;
 
-/// One request that is being served.
+/// A request for the list that is being served.
 pub struct Session {
     relay: Rc<Relay>,
     id: SessionId,
@@ -42,12 +42,12 @@
     handle: Rc<SessionHandle>,
     watcher: RefCell<Watcher>,
     snapshot: Cell<SnapshotProgress>,
-    /// Wakes the session when the watcher has to be polled again.
+    /// Wakes the task when the watcher has to be polled again, or a stalled write has to be checked.
     timer: RefCell<Pin<Box<Sleep>>>,
 }
 
 impl Session {
-    /// Starts to serve a request, if the relay is available and its limits allow it.
+    /// Starts to serve a request; fails if the relay is not available or a limit is reached.
     pub fn open(
         relay: &Rc<Relay>,
         kind: SessionKind,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Whether it is a watch that does not need the complete list at its start.
+    /// Whether the session is a watch that can start without the complete list.
     fn can_resume(&self) -> bool {
         match self.kind {
             SessionKind::List => false,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Requests the admission of the complete list, now or later; an error if the queue is full.
+    /// Requests the admission of the complete list, which is granted now or later; fails if the queue is full.
     fn request_snapshot(&self) -> Result<(), Unavailable> {
         let bytes = self.snapshot_bytes();
         let (id, is_admitted) = match self.relay.snapshots().request(bytes, &self.handle) {
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    /// The size of the complete list.
+    /// The encoded size of the complete list; 0 if the list can't be encoded.
     fn snapshot_bytes(&self) -> usize {
         match self.relay.replica_mut().snapshot() {
             Ok(text) => text.len(),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The next part to send, polled once the connection has capacity; `None` at the end.
+    /// Polls for the next part to send, when the connection has capacity. Ready with `None` at the end of the response.
     pub fn poll_next(&self, context: &mut Context<'_>) -> Poll<NextPart> {
         self.handle.set_waker(context.waker());
         self.finish_sent_snapshot();
@@ -133,7 +133,8 @@
         }
     }
 
-    /// The complete list once: nothing to send before its admission, and nothing after it.
+    /// Polls a request for the complete list that was not admitted yet, or whose list was sent. Pending in the first
+    /// case unless the relay is shutting down, and at the end in the second.
     fn poll_list(&self) -> Poll<NextPart> {
         if matches!(self.snapshot.get(), SnapshotProgress::Finished) {
             return Poll::Ready(None);
@@ -167,9 +168,10 @@
         }
     }
 
-    /// The watcher needs the complete list. Returns the part to send if it can be sent, or rejected, at once.
+    /// Requests the complete list for a watch. Returns the next part if the request is admitted (the list) or rejected
+    /// (the end of the response) at once, and `None` if the watch has to wait for the admission.
     fn request_snapshot_of_watch(&self) -> Option<NextPart> {
-        // A watch that needs the list at its start has requested it when it was opened.
+        // A watch that can't start without the list has requested it when the session was opened.
         if matches!(self.snapshot.get(), SnapshotProgress::Requested(_)) {
             return None;
         }
@@ -180,7 +182,7 @@
         Some(Some(self.take_snapshot(id)))
     }
 
-    /// Whether the connection may stay open although its reader takes nothing.
+    /// Polled when a write has stalled. Ready with an error once the connection has to be closed.
     pub fn poll_stalled(&self, context: &mut Context<'_>) -> Poll<io::Error> {
         loop {
             let action = self.watcher.borrow_mut().write_stalled(&self.relay.replica(), self.relay.now());
@@ -194,7 +196,7 @@
         }
     }
 
-    /// The reader has taken something.
+    /// Reports that the reader has accepted data.
     pub fn write_progressed(&self) {
         self.watcher.borrow_mut().write_progressed();
     }
@@ -205,7 +207,7 @@
         timer.as_mut().poll(context)
     }
 
-    /// The request for the complete list, if it was admitted and is not sent yet.
+    /// The request for the complete list, if it was admitted and the list is not sent yet.
     fn admitted_snapshot(&self) -> Option<SnapshotRequestId> {
         match self.snapshot.get() {
             SnapshotProgress::Requested(id) if self.handle.is_snapshot_admitted() => Some(id),
@@ -213,7 +215,7 @@
         }
     }
 
-    /// The complete list; an error if the replica is not current any more.
+    /// Returns the complete list to send; fails if the replica is not current any more or the list can't be encoded.
     fn take_snapshot(&self, id: SnapshotRequestId) -> io::Result<Bytes> {
         self.handle.set_snapshot_admitted(false);
         let taken = self.watcher.borrow_mut().take_snapshot(&mut self.relay.replica_mut(), self.relay.now());
@@ -229,7 +231,8 @@
         Ok(text)
     }
 
-    /// The connection asks for more: it has taken the complete list.
+    /// Finishes the request for a complete list that was being sent. To be called when the connection polls for more
+    /// data, which shows that it has accepted the list.
     fn finish_sent_snapshot(&self) {
         if let SnapshotProgress::Sending(id) = self.snapshot.get() {
             self.finish_snapshot(id);
--- a/src/bin/flaxgap-relay/session_handle.rs
+++ b/src/bin/flaxgap-relay/session_handle.rs
@@ -13,12 +13,12 @@
 }
 
 impl SessionHandle {
-    /// Sets the task to wake.
+    /// Sets the waker of the task that polls the session.
     pub fn set_waker(&self, waker: &Waker) {
         *self.waker.borrow_mut() = Some(waker.clone());
     }
 
-    /// Polls the session again: there may be something to send.
+    /// Wakes the task that polls the session, because there may be data to send.
     pub fn wake(&self) {
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
@@ -41,12 +41,12 @@
         self.is_snapshot_admitted.get()
     }
 
-    /// Drops the session's connection at once.
+    /// Requests that the session's connection is dropped at once.
     pub fn abort(&self) {
         self.aborted.notify_one();
     }
 
-    /// Waits until the connection is to be dropped at once.
+    /// Waits for [`SessionHandle::abort`].
     pub async fn aborted(&self) {
         self.aborted.notified().await;
     }
--- a/src/bin/flaxgap-relay/session_registry.rs
+++ b/src/bin/flaxgap-relay/session_registry.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What a client has requested.
+/// The kind of list that a client has requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionKind {
     /// The complete list, once.
@@ -33,7 +33,7 @@
     handle: Rc<SessionHandle>,
 }
 
-/// The sessions that are being served.
+/// The registry of the sessions that are being served.
 pub struct SessionRegistry {
     max_watches: usize,
     sessions: RefCell<HashMap<SessionId, RegisteredSession>>,
@@ -42,7 +42,7 @@
 }
 
 impl SessionRegistry {
-    /// No sessions, with a limit on concurrent watches.
+    /// Creates an empty registry with a limit on concurrent watches.
     pub fn new(max_watches: usize) -> SessionRegistry {
         SessionRegistry {
             max_watches,
@@ -67,7 +67,7 @@
         !kind.is_watch() || self.watches() < self.max_watches
     }
 
-    /// Adds a session until [`SessionRegistry::unregister`].
+    /// Adds a session, until [`SessionRegistry::unregister`] removes it.
     pub fn register(&self, kind: SessionKind, handle: &Rc<SessionHandle>) -> SessionId {
         let id = SessionId(self.next_id.get());
         self.next_id.set(id.0 + 1);
--- a/src/bin/flaxgap-relay/settings.rs
+++ b/src/bin/flaxgap-relay/settings.rs
@@ -10,17 +10,17 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// Default limit on concurrent watches. 4,200 heads with two watches each are 420 at each of 20 relays; this leaves
-/// capacity for a region's relays to serve the heads of those that are down.
+/// Default limit on concurrent watches. 4,200 heads with two watches each cause 420 watches on each of 20 relays; the
+/// limit leaves capacity for the heads of the region's other relays when these are down.
 const DEFAULT_MAX_WATCHES: usize = 4096;
 /// Allowed limits on concurrent watches; each watch takes a descriptor.
 const MAX_WATCHES_RANGE: RangeInclusive<usize> = 1..=100_000;
-/// Allowed limits on concurrent sends of the complete list; each may hold a text of 1 MB.
+/// Allowed limits on concurrent sends of the complete list; each may hold an encoded list of 1 MB in memory.
 const MAX_SNAPSHOT_SENDS_RANGE: RangeInclusive<usize> = 1..=10_000;
 /// Allowed timeouts of slow readers, in seconds.
 const SLOW_READER_RANGE_S: RangeInclusive<f64> = 0.1..=60.0;
 
-/// An invalid configuration; the operator's fault.
+/// The configuration can't be read or is invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -31,7 +31,7 @@
         /// The error of the system.
         source: std::io::Error,
     },
-    /// The file is not TOML of the expected form.
+    /// The file is not valid TOML, or has unknown or missing keys.
     #[error("{}: {source}", path.display())]
     Malformed {
         /// The path of the file.
@@ -46,7 +46,7 @@
         path: PathBuf,
         /// The line, from 1.
         line: usize,
-        /// The key, with its table.
+        /// The key, qualified with the name of its table.
         key: &'static str,
         /// Why the value is not allowed.
         problem: ValueProblem,
@@ -77,7 +77,7 @@
     },
 }
 
-/// The file as operators write it.
+/// The contents of the configuration file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SettingsFile {
@@ -100,11 +100,11 @@
 /// The configuration of a relay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelaySettings {
-    /// Its name in the log and in its counters.
+    /// The relay's name in the log and in the status report.
     pub name: String,
     /// The address that heads call.
     pub listen: SocketAddr,
-    /// The address of the source that it watches.
+    /// The address of the upstream that the relay watches: discovery or another relay.
     pub upstream: SocketAddr,
     /// Limit on concurrent watches.
     pub max_watches: usize,
@@ -122,18 +122,18 @@
         let file: SettingsFile =
             toml::from_str(&text).map_err(|source| SettingsError::Malformed { path: path.into(), source })?;
         let checker = FileChecker { path, text: &text };
-        checker.settings(file)
+        checker.check_settings(file)
     }
 }
 
-/// Checks a file, and reports errors with their line.
+/// Validates the contents of a file, and reports errors with their line.
 struct FileChecker<'a> {
     path: &'a Path,
     text: &'a str,
 }
 
 impl FileChecker<'_> {
-    fn settings(&self, file: SettingsFile) -> Result<RelaySettings, SettingsError> {
+    fn check_settings(&self, file: SettingsFile) -> Result<RelaySettings, SettingsError> {
         self.check_name(&file.name)?;
         self.check_upstream(&file.upstream, file.listen)?;
         let limits = &file.limits;
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    /// A number within its range; the default if the file has none.
+    /// Checks that a number is within its range; returns the default if the file does not set it.
     fn number<T: PartialOrd + Copy + Display>(
         &self,
         found: &Option<Spanned<T>>,
--- a/src/bin/flaxgap-relay/snapshot_queue.rs
+++ b/src/bin/flaxgap-relay/snapshot_queue.rs
@@ -1,5 +1,5 @@
-//! The queue of requests for the complete list: each is admitted before it is sent, so that the memory and the bytes per
-//! second of a relay stay bounded.
+//! The queue of requests for the complete list: each is admitted before it is sent, so that the memory and the bytes
+//! per second of a relay stay bounded.
 
 use crate::counters::Counters;
 use crate::session_handle::SessionHandle;
@@ -22,13 +22,13 @@
     clock: Clock,
     counters: Rc<Counters>,
     admission: RefCell<SnapshotAdmission>,
-    /// A request was added or has finished.
+    /// Notified when a request was added or has finished.
     changed: Notify,
     requesters: RefCell<BTreeMap<SnapshotRequestId, Rc<SessionHandle>>>,
 }
 
 impl SnapshotQueue {
-    /// An empty queue. The seed spreads the retry delays of different relays.
+    /// Creates an empty queue. Each relay needs its own seed, so that retry delays are spread.
     pub fn new(limits: SnapshotLimits, seed: u64, clock: Clock, counters: Rc<Counters>) -> SnapshotQueue {
         SnapshotQueue {
             clock,
@@ -49,7 +49,7 @@
         decision
     }
 
-    /// A complete list was sent, or its session has ended.
+    /// Removes a request whose list was sent, or whose session has ended.
     pub fn finish(&self, id: SnapshotRequestId) {
         self.requesters.borrow_mut().remove(&id);
         self.admission.borrow_mut().finish(id);
@@ -101,7 +101,7 @@
         self.requesters.borrow().get(&id).cloned()
     }
 
-    /// Waits until the byte rate may admit a request, or a send may exceed its time limit.
+    /// Waits until the limit on bytes per second may admit a request, or a send may exceed its time limit.
     async fn next_deadline(&self) {
         let next_poll = self.admission.borrow().next_poll();
         match next_poll {
--- a/src/bin/flaxgap-relay/status.rs
+++ b/src/bin/flaxgap-relay/status.rs
@@ -1,4 +1,4 @@
-//! The body of `GET /-/counters`: the state and the counters of a relay at one moment.
+//! The body of the response to `GET /-/counters`: a snapshot of the state and the counters of a relay.
 
 use serde::Serialize;
 
@@ -7,23 +7,23 @@
 pub struct StatusReport {
     /// The relay's name.
     pub name: String,
-    /// Whether it serves heads.
+    /// Whether requests for the list are served.
     pub ready: bool,
-    /// The version of its list.
+    /// The version of the replica.
     pub version: u64,
-    /// How often upstream restarted its numbering: versions of different generations do not compare.
+    /// See [`Replica::generation`](flaxgap_distribution::replica::Replica::generation).
     pub generation: u64,
     /// Number of listed nodes.
     pub nodes: usize,
-    /// Number of watches.
+    /// Number of watches that are being served.
     pub watchers: usize,
-    /// Complete lists that are being sent.
+    /// Number of complete lists that are being sent.
     pub whole_sending: usize,
-    /// Queued requests for the complete list.
+    /// Number of queued requests for the complete list.
     pub whole_waiting: usize,
-    /// Records in the log of changes.
+    /// Number of records in the log of changes.
     pub log_changes: usize,
-    /// Bytes in the log of changes.
+    /// Bytes of encoded text in the log of changes.
     pub log_bytes: usize,
     /// See [`Counters::snapshots_sent`](crate::counters::Counters::snapshots_sent).
     pub whole_sent: u64,
--- a/src/bin/flaxgap-relay/upstream.rs
+++ b/src/bin/flaxgap-relay/upstream.rs
@@ -1,4 +1,4 @@
-//! Watches the upstream: applies its lists to the replica, renews the lease, and wakes the sessions.
+//! Watches the upstream: applies its lists to the replica, renews the replica's lease, and wakes the sessions.
 
 use crate::counters::Counters;
 use crate::relay::{Relay, random_seed};
@@ -11,23 +11,23 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until};
 
-/// The poll schedule assumes this many callers: relays are few.
+/// Number of callers that the poll schedule assumes. It is 1 because an upstream has only a few relays.
 const CALLERS: u32 = 1;
-/// While no call is out and no watch is open, the backoff between calls restarts this often, so that the upstream's
-/// return is found within a second.
+/// Interval at which the backoff between calls is restarted while no call is pending and no watch is open, so that the
+/// return of the upstream is detected within a second.
 const BACKOFF_RESTART_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The watch on the upstream of a relay.
 pub struct UpstreamFollower {
     relay: Rc<Relay>,
-    /// The requests for the complete list that are still needed.
+    /// Whether the next calls have to request the complete list.
     relist: PendingRelist,
     /// Whether the replica was current when it was last checked.
     was_current: bool,
 }
 
 impl UpstreamFollower {
-    /// The upstream of a relay, not called yet.
+    /// Creates the follower of a relay's upstream; [`UpstreamFollower::run`] starts the calls.
     pub fn new(relay: &Rc<Relay>) -> UpstreamFollower {
         UpstreamFollower { relay: relay.clone(), relist: PendingRelist::none(), was_current: false }
     }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// What the next call has to ask for.
+    /// The request of the next call: the complete list, or a watch.
     fn next_request(&self) -> SourceRequest {
         let replica = self.relay.replica();
         if self.relist.take_attempt() || replica.needs_relist(self.relay.now()) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Logs the change between current and not current, and wakes the sessions when the replica is current again.
+    /// Logs when the replica becomes current or ceases to be, and wakes the sessions when it is current again.
     fn check_status(&mut self) {
         let is_current = self.relay.replica().status(self.relay.now()) == ReplicaStatus::Current;
         if is_current == self.was_current {
