--- a/src/bin/flaxgap-relay/http.rs
+++ b/src/bin/flaxgap-relay/http.rs
@@ -89,7 +89,7 @@
 fn respond(relay: &Rc<Relay>, request: &Request<Incoming>, link: &SessionLink) -> Response<ResponseBody> {
     let path = request.uri().path();
     if !matches!(path, TARGETS_PATH | READY_PATH | COUNTERS_PATH) {
-        return text_response(relay, StatusCode::NOT_FOUND, "no such call\n".into());
+        return text_response(relay, StatusCode::NOT_FOUND, "not found\n".into());
     }
     if request.method() != Method::GET {
         return method_not_allowed(relay, request.method());
@@ -135,7 +135,7 @@
 /// An invalid query of a request for the list, which is answered with status 400.
 #[derive(Debug, Error)]
 enum QueryError {
-    #[error("since: {value} is no version")]
+    #[error("since: {value} is not a version")]
     InvalidVersion {
         value: String,
         #[source]
@@ -162,7 +162,7 @@
 }
 
 fn method_not_allowed(relay: &Relay, method: &Method) -> Response<ResponseBody> {
-    let text = format!("{method} has no meaning here\n");
+    let text = format!("method {method} is not allowed\n");
     let mut response = text_response(relay, StatusCode::METHOD_NOT_ALLOWED, text);
     response.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
     response
--- a/src/bin/flaxgap-relay/relay.rs
+++ b/src/bin/flaxgap-relay/relay.rs
@@ -28,19 +28,19 @@
         silent_s: f64,
     },
     /// The limit on watches is reached.
-    #[error("{max_watches} watches stand, the most that the configuration lets")]
+    #[error("the limit of {max_watches} concurrent watches is reached")]
     TooManyWatches {
         /// The limit.
         max_watches: usize,
     },
     /// The queue of requests for the complete list is full.
-    #[error("too many wait for the whole list; come again in {retry_after_s:.0} s")]
+    #[error("too many queued requests for the complete list; retry after {retry_after_s:.0} s")]
     Overloaded {
         /// Delay before the client may retry, in seconds.
         retry_after_s: f64,
     },
     /// The relay is shutting down.
-    #[error("the relay ends")]
+    #[error("the relay is shutting down")]
     ShuttingDown,
 }
 
--- a/src/bin/flaxgap-relay/session.rs
+++ b/src/bin/flaxgap-relay/session.rs
@@ -224,7 +224,7 @@
         }
         let Some(text) = taken.ok().flatten() else {
             self.finish_snapshot(id);
-            return Err(io::Error::other("the list is not current any more"));
+            return Err(io::Error::other("no current list to send"));
         };
         self.relay.counters().snapshots_sent.add(1);
         self.snapshot.set(SnapshotProgress::Sending(id));
--- a/src/bin/flaxgap-relay/settings.rs
+++ b/src/bin/flaxgap-relay/settings.rs
@@ -63,7 +63,7 @@
     #[error("needs a port")]
     MissingPort,
     /// The upstream is the relay's own address.
-    #[error("is the relay itself")]
+    #[error("must not be the relay's own address")]
     OwnAddress,
     /// A number is out of its range.
     #[error("{value} is not from {least} to {most}")]
