--- a/crates/distribution/tests/simulation/head.rs
+++ b/crates/distribution/tests/simulation/head.rs
@@ -1,4 +1,4 @@
-//! A head: the real selection and filter, and membership where the list itself matters.
+//! A simulated head: the real relay selection and update filter, and in detailed simulations the real membership.
 
 use super::discovery::{Discovery, ListedState, listed_state};
 use super::{Connection, START, SimulatedEvent, Simulation, SimulationPlan, WatchMessage};
@@ -9,34 +9,39 @@
 use flaxgap_membership::{EntryChange, Membership};
 use std::collections::BTreeMap;
 
-/// One watch, as the head's client keeps it.
+/// The state of one watch in the head's client.
 struct Watch {
     connection: Connection,
     relay: usize,
     filter: UpdateFilter,
     last_message_at: f64,
-    /// It was asked for the complete list since its relay was found to count anew.
+    /// Whether the complete list was requested since the relay was found to have restarted its numbering.
     has_relisted: bool,
 }
 
+/// A head that watches relays.
 pub struct Head {
     pub locality: Locality,
     pub selection: Selection,
     watches: BTreeMap<WatchId, Watch>,
-    known: u64,
+    /// The version that a head without membership knows.
+    known_version: u64,
+    /// In detailed simulations only.
     membership: Option<Membership>,
     listed: BTreeMap<String, ListedState>,
-    /// By node, the version at the latest from which what is listed held.
-    held: BTreeMap<String, u64>,
-    /// Words that were older than what was known, or never held.
+    /// For each node, the first version at which it can have had the listed state.
+    state_versions: BTreeMap<String, u64>,
+    /// Applied states that the node had only at earlier versions, or never.
     pub violations: Vec<String>,
+    /// Number of complete lists received.
     pub snapshots: usize,
-    /// When it came to know which version.
+    /// The versions that the head has reached, and when.
     pub reached: Vec<(u64, f64)>,
-    pub asked_again: usize,
-    /// It applies every update, whatever its filter decides.
+    /// Number of times that the update filter requested a new watch on the same relay.
+    pub rewatches: usize,
+    /// Whether the head applies every update, whatever its filter decides.
     pub bypasses_filter: bool,
-    /// When its selection last had no relay.
+    /// Since when no relay is reachable; `None` while one is.
     pub unreachable_since: Option<f64>,
     next_poll_at: f64,
 }
@@ -50,57 +55,60 @@
             locality: locality.clone(),
             selection,
             watches: BTreeMap::new(),
-            known: 0,
+            known_version: 0,
             membership: plan.detailed.then(Membership::default),
             listed: BTreeMap::new(),
-            held: BTreeMap::new(),
+            state_versions: BTreeMap::new(),
             violations: Vec::new(),
             snapshots: 0,
             reached: Vec::new(),
-            asked_again: 0,
+            rewatches: 0,
             bypasses_filter: false,
             unreachable_since: None,
             next_poll_at: START,
         }
     }
 
-    pub fn known(&self) -> u64 {
-        self.membership.as_ref().map_or(self.known, Membership::version)
+    /// The version that the head knows.
+    pub fn known_version(&self) -> u64 {
+        self.membership.as_ref().map_or(self.known_version, Membership::version)
     }
 
-    /// It begins with an earlier list.
+    /// Sets the version of the list with which a head without membership starts.
     pub fn set_known_version(&mut self, version: u64) {
-        self.known = version;
+        self.known_version = version;
     }
 
+    /// The state of a node as the head knows it.
     pub fn listed(&self, name: &str) -> ListedState {
         self.listed.get(name).copied().flatten()
     }
 
+    /// Whether the head lists the same nodes in the same states as discovery.
     pub fn agrees(&self, discovery: &Discovery) -> bool {
-        let mine = self.listed.iter().filter(|(_, state)| state.is_some());
-        mine.clone().count() == discovery.listed().len()
+        let listed = self.listed.values().filter(|state| state.is_some());
+        listed.count() == discovery.listed().len()
             && discovery.listed().values().all(|entry| self.listed(&entry.name) == listed_state(entry))
     }
 
-    /// How long it took to learn of a version that was published at a time.
-    pub fn delay(&self, version: u64, published: f64) -> Option<f64> {
-        self.reached.iter().find(|(known, _)| *known >= version).map(|(_, at)| at - published)
+    /// The time from the publication of a version until the head reached it; `None` if it has not reached it.
+    pub fn delay(&self, version: u64, published_at: f64) -> Option<f64> {
+        self.reached.iter().find(|(known, _)| *known >= version).map(|(_, at)| at - published_at)
     }
 
-    /// The relays whose watches speak.
+    /// The relays on which the head has an open watch.
     pub fn relays(&self) -> Vec<usize> {
         let watch_ids = [self.selection.primary(), self.selection.spare()];
         watch_ids.into_iter().flatten().filter_map(|watch_id| self.selection.relay_of(watch_id)).collect()
     }
 
-    /// Applies a line; returns whether the relay has to be watched again.
-    fn take(&mut self, watch_id: WatchId, text: &Bytes, now: f64, discovery: &Discovery) -> bool {
-        let known = self.known();
+    /// Applies a received list; returns whether the relay has to be watched again.
+    fn apply(&mut self, watch_id: WatchId, text: &Bytes, now: f64, discovery: &Discovery) -> bool {
+        let known = self.known_version();
         let Some(watch) = self.watches.get_mut(&watch_id) else { return false };
         let list = match &self.membership {
-            Some(_) => EndpointList::parse(text).expect("a list that can be read"),
-            None => heading(text),
+            Some(_) => EndpointList::parse(text).expect("a valid list"),
+            None => parse_without_entries(text),
         };
         self.snapshots += usize::from(list.is_snapshot);
         let verdict = watch.filter.evaluate(list.version, list.is_snapshot, known);
@@ -112,7 +120,7 @@
             }
         }
         let Some(membership) = &mut self.membership else {
-            self.known = self.known.max(list.version);
+            self.known_version = self.known_version.max(list.version);
             return false;
         };
         let changes = membership.apply_named(list, watch.filter.source(), now);
@@ -127,26 +135,26 @@
         false
     }
 
-    /// Records the state of a node, and checks that it held at no earlier version than the state recorded before.
+    /// Records the state of a node, and checks that the node had it at the version of the previous state or a later
+    /// one.
     fn record(&mut self, name: String, state: ListedState, discovery: &Discovery) {
-        let before = self.held.get(&name).copied().unwrap_or_default();
-        match discovery.first_version_with(&name, state, before) {
-            Some(version) => _ = self.held.insert(name.clone(), version),
-            None => self.violations.push(format!("{name}: {state:?} after version {before}")),
+        let previous = self.state_versions.get(&name).copied().unwrap_or_default();
+        match discovery.first_version_with(&name, state, previous) {
+            Some(version) => _ = self.state_versions.insert(name.clone(), version),
+            None => self.violations.push(format!("{name}: {state:?} after version {previous}")),
         }
         self.listed.insert(name, state);
     }
 }
 
-/// A list's version, and whether it is whole, without its entries.
-fn heading(text: &Bytes) -> EndpointList {
-    let start = std::str::from_utf8(&text[..text.len().min(64)]).expect("text");
-    let rest = start.strip_prefix("{\"rev\":").expect("a version first");
-    let (rev, rest) = rest.split_once(',').expect("a version's end");
-    let all = rest.starts_with("\"all\":true");
+/// Parses the version of a list and whether the list is complete, but not its entries.
+fn parse_without_entries(text: &Bytes) -> EndpointList {
+    let start = std::str::from_utf8(&text[..text.len().min(64)]).expect("valid UTF-8");
+    let rest = start.strip_prefix("{\"rev\":").expect("the version as the first field");
+    let (version, rest) = rest.split_once(',').expect("a second field");
     EndpointList {
-        version: rev.parse().expect("a version"),
-        is_snapshot: all,
+        version: version.parse().expect("a numeric version"),
+        is_snapshot: rest.starts_with("\"all\":true"),
         entries: vec![],
         unreadable: vec![],
     }
@@ -155,16 +163,16 @@
 impl Simulation {
     pub(super) fn head_polls(&mut self, head: usize) {
         let now = self.event_queue.now;
-        let silence = self.heads[head].selection.timing().idle_timeout_s;
-        let silent: Vec<WatchId> = self.heads[head]
+        let idle_timeout_s = self.heads[head].selection.timing().idle_timeout_s;
+        let timed_out: Vec<WatchId> = self.heads[head]
             .watches
             .iter()
             .filter(|(watch_id, watch)| {
-                self.heads[head].is_open(**watch_id) && now - watch.last_message_at >= silence
+                self.heads[head].is_open(**watch_id) && now - watch.last_message_at >= idle_timeout_s
             })
             .map(|(watch_id, _)| *watch_id)
             .collect();
-        for watch_id in silent {
+        for watch_id in timed_out {
             self.head_loses_watch(head, watch_id, LostReason::IdleTimeout);
         }
         self.head_relists(head);
@@ -182,7 +190,7 @@
             0 => head_state.unreachable_since.or(Some(now)),
             _ => None,
         };
-        // A late watch is seen within half a second.
+        // An idle timeout is detected within 0.5 s.
         let next = head_state.selection.next_poll(now).min(now + 0.5).max(now + 1e-3);
         if head_state.next_poll_at <= now || next < head_state.next_poll_at {
             head_state.next_poll_at = next;
@@ -191,7 +199,7 @@
     }
 
     fn head_opens_watch(&mut self, head: usize, watch_id: WatchId, relay: usize) {
-        let known = self.heads[head].known();
+        let known = self.heads[head].known_version();
         let watch = Watch {
             connection: Connection(0),
             relay,
@@ -203,20 +211,20 @@
         self.head_requests_watch(head, watch_id, known);
     }
 
-    /// Asks the watch's relay on a new connection.
+    /// Sends the request of a watch to its relay on a new connection, and closes the previous connection.
     fn head_requests_watch(&mut self, head: usize, watch_id: WatchId, since: u64) {
         let (connection, latency) = (self.event_queue.connection(), self.event_queue.latency());
         let Some(watch) = self.heads[head].watches.get_mut(&watch_id) else { return };
         watch.filter.restart(since);
         watch.last_message_at = self.event_queue.now;
-        let old = std::mem::replace(&mut watch.connection, connection);
+        let previous = std::mem::replace(&mut watch.connection, connection);
         let relay = watch.relay;
         let at = self.event_queue.now + latency;
-        self.event_queue.at(at, SimulatedEvent::WatchClosed { relay, connection: old });
+        self.event_queue.at(at, SimulatedEvent::WatchClosed { relay, connection: previous });
         self.event_queue.at(at, SimulatedEvent::WatchRequested { relay, head, watch_id, connection, since });
     }
 
-    /// Where a relay has been behind for too long it is asked for the complete list.
+    /// Requests the complete list from relays that have been behind for too long.
     fn head_relists(&mut self, head: usize) {
         let now = self.event_queue.now;
         let watches = self.heads[head].watches.iter_mut();
@@ -265,11 +273,11 @@
             WatchMessage::Heartbeat => self.heads[head].selection.watch_opened(watch_id, now),
             WatchMessage::List(text) => {
                 self.heads[head].selection.watch_opened(watch_id, now);
-                let needs_rewatch = self.heads[head].take(watch_id, &text, now, &self.discovery);
-                let known = self.heads[head].known();
+                let needs_rewatch = self.heads[head].apply(watch_id, &text, now, &self.discovery);
+                let known = self.heads[head].known_version();
                 self.heads[head].reached.push((known, now));
                 if needs_rewatch {
-                    self.heads[head].asked_again += 1;
+                    self.heads[head].rewatches += 1;
                     self.head_requests_watch(head, watch_id, known);
                 }
             }
--- a/crates/distribution/tests/simulation/mod.rs
+++ b/crates/distribution/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: discovery, relays and heads made of the crate's own parts, joined by connections that take
-//! time and break. Everything that is drawn comes from one seed.
+//! A simulation of a fleet in virtual time: discovery, relays and heads that run the crate's real decision logic,
+//! connected by links with latency and failures. All random numbers are drawn from one seed.
 
 #![allow(dead_code, unused_imports)]
 
@@ -19,9 +19,9 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Virtual time starts here, in seconds.
+/// Start of the virtual time, in seconds.
 pub const START: f64 = 1000.0;
-/// A message between two machines takes from this to the next, in seconds.
+/// Minimum and maximum latency of a message between two machines, in seconds.
 const LATENCY_S: (f64, f64) = (0.0005, 0.02);
 /// Heartbeat interval of discovery, in seconds.
 pub const UPSTREAM_HEARTBEAT_S: f64 = 2.0;
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Connection(pub u64);
 
-/// What a head hears on a watch.
+/// A message to a head on a watch, or the end of the watch.
 #[derive(Clone, Debug)]
 pub enum WatchMessage {
     Heartbeat,
@@ -38,7 +38,7 @@
     Lost(LostReason),
 }
 
-/// What happens at a time.
+/// An event of the simulation, scheduled in the [`EventQueue`].
 #[derive(Debug)]
 pub enum SimulatedEvent {
     HeadPolls {
@@ -85,67 +85,73 @@
     },
 }
 
-/// What a fleet is made of.
+/// The parameters of a simulation.
 pub struct SimulationPlan {
     pub seed: u64,
     pub relays: Vec<RelayInfo>,
     pub heads: Vec<Locality>,
     pub nodes: usize,
-    /// Heads keep the list itself, not only its version.
+    /// Whether heads keep the list itself, not only its version.
     pub detailed: bool,
     pub limits: ReplicaLimits,
-    /// How long discovery's message takes to a relay at most, in seconds.
+    /// Maximum delay of a message from discovery to a relay, in seconds.
     pub upstream_lag_s: f64,
 }
 
-/// The events that are to come, and what is drawn.
+/// The virtual clock, the random number generator, and the events to come.
 pub struct EventQueue {
     pub now: f64,
     pub rng: ChaCha8Rng,
-    events: BinaryHeap<Reverse<(u64, u64)>>,
-    payloads: std::collections::HashMap<u64, SimulatedEvent>,
-    issued: u64,
-    connections: u64,
+    /// The time in microseconds and the id of each scheduled event.
+    schedule: BinaryHeap<Reverse<(u64, u64)>>,
+    /// The scheduled events by id.
+    events: std::collections::HashMap<u64, SimulatedEvent>,
+    last_event_id: u64,
+    last_connection: u64,
 }
 
 impl EventQueue {
+    /// Schedules an event.
     pub fn at(&mut self, time: f64, event: SimulatedEvent) {
-        self.issued += 1;
+        self.last_event_id += 1;
         let micros = (time.max(self.now) * 1e6).ceil() as u64;
-        self.events.push(Reverse((micros, self.issued)));
-        self.payloads.insert(self.issued, event);
+        self.schedule.push(Reverse((micros, self.last_event_id)));
+        self.events.insert(self.last_event_id, event);
     }
 
+    /// Draws the latency of a message.
     pub fn latency(&mut self) -> f64 {
         self.rng.random_range(LATENCY_S.0..LATENCY_S.1)
     }
 
+    /// Creates a connection with a new id.
     pub fn connection(&mut self) -> Connection {
-        self.connections += 1;
-        Connection(self.connections)
+        self.last_connection += 1;
+        Connection(self.last_connection)
     }
 
+    /// Takes the next event that is due by `until`, and advances the clock to its time.
     fn next(&mut self, until: f64) -> Option<SimulatedEvent> {
-        let Reverse((micros, _)) = *self.events.peek()?;
+        let Reverse((micros, _)) = *self.schedule.peek()?;
         let time = micros as f64 / 1e6;
         if time > until {
             return None;
         }
-        let Reverse((_, number)) = self.events.pop()?;
+        let Reverse((_, event_id)) = self.schedule.pop()?;
         self.now = self.now.max(time);
-        self.payloads.remove(&number)
+        self.events.remove(&event_id)
     }
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Simulation {
     pub event_queue: EventQueue,
     pub discovery: Discovery,
     pub relays: Vec<Relay>,
     pub heads: Vec<Head>,
-    /// Regions between which nothing passes: those in the list reach only each other.
-    pub cut_off: Option<String>,
-    /// The region that discovery is in.
+    /// The region that is partitioned from all other regions, if there is one.
+    pub partitioned_region: Option<String>,
+    /// The region of discovery.
     pub discovery_region: String,
 }
 
@@ -154,10 +160,10 @@
         let mut event_queue = EventQueue {
             now: START,
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
-            events: BinaryHeap::new(),
-            payloads: Default::default(),
-            issued: 0,
-            connections: 0,
+            schedule: BinaryHeap::new(),
+            events: Default::default(),
+            last_event_id: 0,
+            last_connection: 0,
         };
         let relays: Vec<Relay> =
             plan.relays.iter().map(|info| Relay::new(info.clone(), &plan, &mut event_queue)).collect();
@@ -168,19 +174,21 @@
         let heads = heads.collect();
         let discovery_region = plan.relays.first().map(|relay| relay.region.clone()).unwrap_or_default();
         let discovery = Discovery::new(plan.nodes);
-        Simulation { event_queue, discovery, relays, heads, cut_off: None, discovery_region }
+        Simulation { event_queue, discovery, relays, heads, partitioned_region: None, discovery_region }
     }
 
     pub fn now(&self) -> f64 {
         self.event_queue.now
     }
 
-    /// Whether messages pass between two regions.
+    /// Whether messages are delivered between two regions.
     pub fn is_connected(&self, one: &str, other: &str) -> bool {
-        self.cut_off.as_deref().is_none_or(|cut| (one == cut) == (other == cut))
+        self.partitioned_region
+            .as_deref()
+            .is_none_or(|partitioned| (one == partitioned) == (other == partitioned))
     }
 
-    /// Lets time pass until a moment.
+    /// Runs the simulation until a time.
     pub fn run_until(&mut self, until: f64) {
         while let Some(event) = self.event_queue.next(until) {
             self.handle(event);
@@ -188,18 +196,20 @@
         self.event_queue.now = until;
     }
 
+    /// Runs the simulation for a duration.
     pub fn run_for(&mut self, seconds: f64) {
         self.run_until(self.now() + seconds);
     }
 
-    /// Lets time pass until something holds, asked at every tenth of a second; gives how long that took.
-    pub fn run_until_holds(&mut self, most: f64, holds: impl Fn(&Simulation) -> bool) -> f64 {
-        let began = self.now();
-        while !holds(self) && self.now() - began < most {
+    /// Runs the simulation until a condition holds, which is checked every 0.1 s, and returns the time that this took.
+    /// Panics if the condition does not hold within `timeout_s`.
+    pub fn run_until_holds(&mut self, timeout_s: f64, condition: impl Fn(&Simulation) -> bool) -> f64 {
+        let started_at = self.now();
+        while !condition(self) && self.now() - started_at < timeout_s {
             self.run_for(0.1);
         }
-        assert!(holds(self), "not within {most} s");
-        self.now() - began
+        assert!(condition(self), "the condition does not hold within {timeout_s} s");
+        self.now() - started_at
     }
 
     fn handle(&mut self, event: SimulatedEvent) {
@@ -226,24 +236,24 @@
         }
     }
 
-    /// Whether each head that runs knows the version that discovery is at.
+    /// Whether all heads know the version of discovery.
     pub fn all_current(&self) -> bool {
         let version = self.discovery.version();
-        self.heads.iter().all(|head| head.known() == version)
+        self.heads.iter().all(|head| head.known_version() == version)
     }
 
-    /// Whether each head lists what discovery lists.
+    /// Whether all heads list the same nodes in the same states as discovery.
     pub fn all_agree(&self) -> bool {
         self.heads.iter().all(|head| head.agrees(&self.discovery))
     }
 }
 
-/// The coming size: 2 regions with 4 zones each, 20 relays spread over the zones in turn.
+/// The relays of the planned fleet: 20 relays, assigned round-robin to 4 zones in each of 2 regions.
 pub fn planned_relays() -> Vec<RelayInfo> {
     relays(2, 4, 20)
 }
 
-/// Relays spread over the zones of regions in turn.
+/// Relays that are assigned round-robin to the zones of the regions.
 pub fn relays(regions: usize, zones: usize, count: usize) -> Vec<RelayInfo> {
     let relay = |number: usize| {
         let zone = number % (regions * zones);
@@ -257,7 +267,7 @@
     (0..count).map(relay).collect()
 }
 
-/// Heads spread over the zones of regions in turn.
+/// The localities of heads that are assigned round-robin to the zones of the regions.
 pub fn localities(regions: usize, zones: usize, count: usize) -> Vec<Locality> {
     let locality = |number: usize| {
         let zone = number % (regions * zones);
--- a/crates/distribution/tests/simulation/relay.rs
+++ b/crates/distribution/tests/simulation/relay.rs
@@ -1,4 +1,4 @@
-//! A relay: the real replica, watchers and admission, with a watch on discovery.
+//! A simulated relay: the real replica, watchers and admission control, with a watch on discovery.
 
 use super::{
     Connection, EventQueue, SimulatedEvent, Simulation, SimulationPlan, UPSTREAM_HEARTBEAT_S, WatchMessage,
@@ -13,50 +13,55 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What one head's line takes, in bytes per second.
-const LINE_BYTES_PER_S: f64 = 12.5e6;
+/// Bandwidth of the link to one head, in bytes per second.
+const LINK_BYTES_PER_S: f64 = 12.5e6;
 
-/// How a relay's machine goes.
+/// The failure of a relay's machine, as its peers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayFailure {
-    /// Its kernel tells all who are connected, and refuses who comes.
+    /// Open connections are reset, and new ones are refused.
     ConnectionRefused,
-    /// Nothing is heard of it.
+    /// Messages are lost without an error.
     Unresponsive,
 }
 
+/// A watch that a relay serves.
 struct SimulatedSession {
     head: usize,
     watch_id: WatchId,
     watcher: Watcher,
     request_id: Option<SnapshotRequestId>,
-    /// What is sent arrives_at in its order.
+    /// When the last message that was sent arrives; later messages do not arrive earlier.
     arrives_at: f64,
     next_poll_at: f64,
 }
 
+/// A relay between discovery and heads.
 pub struct Relay {
     pub info: RelayInfo,
     pub replica: Replica,
     limits: ReplicaLimits,
     admission: SnapshotAdmission,
-    session: BTreeMap<Connection, SimulatedSession>,
-    /// Whose list is being sent or waits.
+    sessions: BTreeMap<Connection, SimulatedSession>,
+    /// The connections of the requests for the complete list that are queued or admitted.
     requests: BTreeMap<SnapshotRequestId, Connection>,
-    /// The texts of complete lists that are being sent.
+    /// The encoded complete lists that are being sent.
     sending: BTreeMap<SnapshotRequestId, Bytes>,
     pub failure: Option<RelayFailure>,
-    /// Discovery's message does not reach it.
+    /// Whether messages from discovery do not reach the relay.
     pub without_upstream: bool,
-    /// Its next message from discovery is the complete list, whatever it asks for.
-    pub sends_snapshot_next: bool,
+    /// Whether the next message from discovery is the complete list, even if the relay watches for changes.
+    pub receives_snapshot_next: bool,
+    /// Number of starts. Events of an earlier incarnation are ignored.
     incarnation: u64,
     lag_s: f64,
-    /// When it was asked, and when it began to send how many bytes of complete lists.
-    pub asked: Vec<f64>,
+    /// When heads requested watches.
+    pub requested_at: Vec<f64>,
+    /// When the relay started to send complete lists, and their sizes in bytes.
     pub sent_snapshots: Vec<(f64, usize)>,
+    /// Maximum size of the log and the lists that are being sent, in bytes.
     pub peak_bytes: usize,
-    /// Lines sent while the copy was not current.
+    /// Number of messages sent while the replica was not current.
     pub sent_while_expired: usize,
 }
 
@@ -69,15 +74,15 @@
             replica: Replica::new(plan.limits.clone()),
             limits: plan.limits.clone(),
             admission: SnapshotAdmission::new(SnapshotLimits::default(), plan.seed),
-            session: BTreeMap::new(),
+            sessions: BTreeMap::new(),
             requests: BTreeMap::new(),
             sending: BTreeMap::new(),
             failure: None,
             without_upstream: false,
-            sends_snapshot_next: false,
+            receives_snapshot_next: false,
             incarnation: 0,
             lag_s: plan.upstream_lag_s,
-            asked: Vec::new(),
+            requested_at: Vec::new(),
             sent_snapshots: Vec::new(),
             peak_bytes: 0,
             sent_while_expired: 0,
@@ -98,42 +103,42 @@
     }
 
     pub fn watchers(&self) -> usize {
-        self.session.len()
+        self.sessions.len()
     }
 
-    /// The most of something in any second; the times are in their order.
-    pub fn peak_per_second(times: impl Iterator<Item = (f64, usize)>) -> usize {
-        let (mut window, mut sum, mut most) = (VecDeque::new(), 0, 0);
-        for (at, count) in times {
+    /// The maximum sum of the counts within any second. The events have to be ordered by time.
+    pub fn peak_per_second(events: impl Iterator<Item = (f64, usize)>) -> usize {
+        let (mut window, mut sum, mut peak) = (VecDeque::new(), 0, 0);
+        for (at, count) in events {
             window.push_back((at, count));
             sum += count;
-            while let Some((first, old)) = window.front()
-                && *first <= at - 1.0
+            while let Some((oldest_at, oldest_count)) = window.front()
+                && *oldest_at <= at - 1.0
             {
-                sum -= old;
+                sum -= oldest_count;
                 window.pop_front();
             }
-            most = most.max(sum);
+            peak = peak.max(sum);
         }
-        most
+        peak
     }
 
     fn record_peak_bytes(&mut self) {
         let texts: BTreeSet<(usize, usize)> =
             self.sending.values().map(|text| (text.as_ptr() as usize, text.len())).collect();
-        let held = self.replica.log().bytes() + texts.iter().map(|(_, length)| length).sum::<usize>();
-        self.peak_bytes = self.peak_bytes.max(held);
+        let bytes = self.replica.log().bytes() + texts.iter().map(|(_, length)| length).sum::<usize>();
+        self.peak_bytes = self.peak_bytes.max(bytes);
     }
 }
 
 impl Simulation {
-    /// A relay's machine goes down.
-    pub fn kill(&mut self, relay: usize, failure: RelayFailure) {
+    /// Stops a relay's machine.
+    pub fn stop_relay(&mut self, relay: usize, failure: RelayFailure) {
         let state = &mut self.relays[relay];
         (state.failure, state.incarnation) = (Some(failure), state.incarnation + 1);
         state.requests.clear();
         state.sending.clear();
-        for (connection, session) in std::mem::take(&mut state.session) {
+        for (connection, session) in std::mem::take(&mut state.sessions) {
             if failure == RelayFailure::ConnectionRefused {
                 let message = WatchMessage::Lost(LostReason::ConnectionLost);
                 self.send(relay, connection, session.head, session.watch_id, session.arrives_at, message);
@@ -141,15 +146,15 @@
         }
     }
 
-    /// It is back, and has lost everything.
-    pub fn revive(&mut self, relay: usize) {
+    /// Restarts a relay with an empty replica.
+    pub fn restart_relay(&mut self, relay: usize) {
         let state = &mut self.relays[relay];
         (state.failure, state.replica) = (None, Replica::new(state.limits.clone()));
         state.admission = SnapshotAdmission::new(SnapshotLimits::default(), relay as u64);
         state.start(relay, &mut self.event_queue);
     }
 
-    /// All relays hear of a new version of discovery, each after its own delay.
+    /// Announces a new version of discovery to all relays, each after a random delay.
     pub fn publish(&mut self) {
         for relay in 0..self.relays.len() {
             let (incarnation, lag) = (self.relays[relay].incarnation, self.relays[relay].lag_s);
@@ -173,8 +178,8 @@
         let state = &mut self.relays[relay];
         let cursor = state.replica.upstream_version();
         let needs_snapshot =
-            std::mem::take(&mut state.sends_snapshot_next) || state.replica.needs_relist(now);
-        // A source that restarts its numbering does not know the cursor, and gives the complete list.
+            std::mem::take(&mut state.receives_snapshot_next) || state.replica.needs_relist(now);
+        // A source that has restarted its numbering does not know the cursor, and sends the complete list.
         let needs_snapshot =
             needs_snapshot || self.discovery.sends_snapshots_only || cursor > self.discovery.version();
         if !needs_snapshot && cursor == self.discovery.version() {
@@ -182,7 +187,7 @@
         } else {
             let list =
                 if needs_snapshot { self.discovery.snapshot() } else { self.discovery.changes(cursor) };
-            state.replica.apply(list, now).expect("a list that can be written");
+            state.replica.apply(list, now).expect("an encoded list");
         }
         state.record_peak_bytes();
         self.serve_all(relay);
@@ -207,16 +212,16 @@
     ) {
         let now = self.event_queue.now;
         let state = &mut self.relays[relay];
-        state.asked.push(now);
+        state.requested_at.push(now);
         if !self.is_connected(&self.relays[relay].info.region, &self.heads[head].locality.region) {
             return;
         }
         let state = &mut self.relays[relay];
-        let refused = state.failure == Some(RelayFailure::ConnectionRefused)
+        let is_refused = state.failure == Some(RelayFailure::ConnectionRefused)
             || state.replica.status(now) != ReplicaStatus::Current;
         match state.failure {
             Some(RelayFailure::Unresponsive) => {}
-            _ if refused => {
+            _ if is_refused => {
                 self.send(
                     relay,
                     connection,
@@ -236,7 +241,7 @@
                     arrives_at: now,
                     next_poll_at: 0.0,
                 };
-                state.session.insert(connection, session);
+                state.sessions.insert(connection, session);
                 self.serve(relay, connection);
             }
         }
@@ -244,7 +249,7 @@
 
     pub(super) fn watch_closed(&mut self, relay: usize, connection: Connection) {
         let state = &mut self.relays[relay];
-        let Some(session) = state.session.remove(&connection) else { return };
+        let Some(session) = state.sessions.remove(&connection) else { return };
         if let Some(request_id) = session.request_id {
             self.finish(relay, request_id);
         }
@@ -257,16 +262,16 @@
     }
 
     fn serve_all(&mut self, relay: usize) {
-        let connections: Vec<Connection> = self.relays[relay].session.keys().copied().collect();
+        let connections: Vec<Connection> = self.relays[relay].sessions.keys().copied().collect();
         connections.into_iter().for_each(|connection| self.serve(relay, connection));
     }
 
-    /// Lets a watcher do all that it can do now.
+    /// Polls a watcher and performs its actions until it waits or ends.
     fn serve(&mut self, relay: usize, connection: Connection) {
         let now = self.event_queue.now;
         loop {
             let state = &mut self.relays[relay];
-            let Some(session) = state.session.get_mut(&connection) else { return };
+            let Some(session) = state.sessions.get_mut(&connection) else { return };
             let (head, watch_id, arrives_at) = (session.head, session.watch_id, session.arrives_at);
             let next = session.watcher.poll(&state.replica, now);
             let is_sent = !matches!(next, WatchAction::Wait { .. } | WatchAction::End(_));
@@ -304,7 +309,7 @@
         }
     }
 
-    /// Something goes to a head, after all that went to it before on this connection.
+    /// Sends a message to a head. It arrives after all earlier messages on this connection.
     fn send(
         &mut self,
         relay: usize,
@@ -315,7 +320,7 @@
         message: WatchMessage,
     ) {
         let arrives_at = (self.event_queue.now + self.event_queue.latency()).max(arrives_at);
-        if let Some(session) = self.relays[relay].session.get_mut(&connection) {
+        if let Some(session) = self.relays[relay].sessions.get_mut(&connection) {
             session.arrives_at = arrives_at;
         }
         if self.is_connected(&self.relays[relay].info.region, &self.heads[head].locality.region) {
@@ -327,14 +332,14 @@
     fn request_snapshot(&mut self, relay: usize, connection: Connection) {
         let now = self.event_queue.now;
         let state = &mut self.relays[relay];
-        let bytes = state.replica.snapshot().expect("a list that can be written").len();
-        let admitted = state.admission.request(bytes, now);
-        let Some(session) = state.session.get_mut(&connection) else { return };
-        match admitted {
+        let bytes = state.replica.snapshot().expect("an encoded list").len();
+        let decision = state.admission.request(bytes, now);
+        let Some(session) = state.sessions.get_mut(&connection) else { return };
+        match decision {
             SnapshotDecision::Admitted(request_id) | SnapshotDecision::Queued(request_id) => {
                 session.request_id = Some(request_id);
                 state.requests.insert(request_id, connection);
-                if matches!(admitted, SnapshotDecision::Admitted(_)) {
+                if matches!(decision, SnapshotDecision::Admitted(_)) {
                     self.send_snapshot(relay, request_id);
                 }
             }
@@ -375,18 +380,17 @@
         let now = self.event_queue.now;
         let state = &mut self.relays[relay];
         let connection = state.requests[&request_id];
-        let Some(session) = state.session.get_mut(&connection) else { return };
+        let Some(session) = state.sessions.get_mut(&connection) else { return };
         let (head, watch_id) = (session.head, session.watch_id);
-        let text =
-            session.watcher.take_snapshot(&mut state.replica, now).expect("a list that can be written");
+        let text = session.watcher.take_snapshot(&mut state.replica, now).expect("an encoded list");
         let Some(text) = text else { return self.finish(relay, request_id) };
         state.sent_snapshots.push((now, text.len()));
         state.sending.insert(request_id, text.clone());
         state.record_peak_bytes();
-        let sent = now + text.len() as f64 / LINE_BYTES_PER_S;
+        let sent_at = now + text.len() as f64 / LINK_BYTES_PER_S;
         let incarnation = state.incarnation;
-        self.event_queue.at(sent, SimulatedEvent::SnapshotSent { relay, incarnation, request_id });
-        self.send(relay, connection, head, watch_id, sent, WatchMessage::List(text));
+        self.event_queue.at(sent_at, SimulatedEvent::SnapshotSent { relay, incarnation, request_id });
+        self.send(relay, connection, head, watch_id, sent_at, WatchMessage::List(text));
         self.serve(relay, connection);
     }
 
@@ -401,7 +405,7 @@
         state.admission.finish(request_id);
         state.sending.remove(&request_id);
         if let Some(connection) = state.requests.remove(&request_id)
-            && let Some(session) = state.session.get_mut(&connection)
+            && let Some(session) = state.sessions.get_mut(&connection)
         {
             session.request_id = None;
         }
--- a/crates/distribution/tests/update_filter.rs
+++ b/crates/distribution/tests/update_filter.rs
@@ -1,4 +1,4 @@
-//! What a head takes of two relays, one of which is behind the other.
+//! The update filter of a head that watches two relays, one of which lags behind the other.
 
 use flaxgap_distribution::update_filter::{UpdateFilter, Verdict};
 use flaxgap_membership::list::{EndpointList, Entry, NodeState};
@@ -6,7 +6,7 @@
 
 const NOW: f64 = 1000.0;
 
-fn list(rev: u64, all: bool) -> EndpointList {
+fn list(version: u64, is_snapshot: bool) -> EndpointList {
     let address = Some(([10, 1, 0, 18], 8080).into());
     let entry = Entry {
         name: "a".into(),
@@ -16,23 +16,24 @@
         state: NodeState::Ready,
         started_at: 0.0,
     };
-    EndpointList { version: rev, is_snapshot: all, entries: vec![entry], unreadable: vec![] }
+    EndpointList { version, is_snapshot, entries: vec![entry], unreadable: vec![] }
 }
 
-/// Given lists in their order, when the other watch has told some of them, then these are known and the rest is taken.
+/// Given updates in order, when some versions were received from the other watch already, then these are dropped as
+/// duplicates and the others are applied.
 #[test]
 fn updates_received_from_the_other_watch_are_duplicates() {
     let mut filter = UpdateFilter::new(41);
     assert_eq!(filter.evaluate(42, false, 41), Verdict::Apply);
     assert_eq!(filter.evaluate(43, false, 45), Verdict::Duplicate);
     assert_eq!(filter.evaluate(44, false, 45), Verdict::Duplicate);
-    // The last version may be told once more, with a drain that came late.
+    // The known version is applied again, because it may contain a drain that arrived late.
     assert_eq!(filter.evaluate(45, false, 45), Verdict::Apply);
     assert_eq!(filter.evaluate(46, false, 45), Verdict::Apply);
 }
 
-/// Given a list that jumps over a version known from the other watch, when it comes, then the relay is asked again, with
-/// that version; one that jumps over versions that nobody told is taken.
+/// Given an update that skips a version known from the other watch, when it is received, then the relay is watched
+/// again from that version. An update that skips only versions that were received from neither watch is applied.
 #[test]
 fn a_list_that_jumps_over_the_known_version_is_not_applied() {
     let mut filter = UpdateFilter::new(41);
@@ -43,8 +44,8 @@
     assert_eq!(filter.evaluate(60, true, 55), Verdict::Apply);
 }
 
-/// Given a relay whose source restarts its numbering, when its complete list comes, then its changes are taken too, and after the time
-/// that membership states it is to be asked for the complete list, also on another connection.
+/// Given a relay whose source restarts its numbering, when its complete list was received, then its changes are applied
+/// too, and after [`REWIND_AFTER_S`] the complete list has to be requested again, also after a restart of the filter.
 #[test]
 fn a_renumbered_relay_is_relisted() {
     let (mut membership, mut filter) = (Membership::default(), UpdateFilter::new(0));
