--- a/crates/slow-start/src/decaying_rate.rs
+++ b/crates/slow-start/src/decaying_rate.rs
@@ -30,19 +30,19 @@
 
     /// Adds `units` at the time `now`.
     pub(crate) fn add(&mut self, now: f64, units: f64) {
-        self.sum = self.sum * self.remaining(self.updated_at, now) + units;
+        self.sum = self.sum * self.decay(self.updated_at, now) + units;
         self.updated_at = now;
     }
 
     /// Returns the rate at `now`, in units per second.
     pub(crate) fn per_second(&self, now: f64) -> f64 {
-        let known_fraction = 1.0 - self.remaining(self.started_at, now);
-        self.sum * self.remaining(self.updated_at, now)
+        let known_fraction = 1.0 - self.decay(self.started_at, now);
+        self.sum * self.decay(self.updated_at, now)
             / (self.time_constant_s * known_fraction.max(MIN_KNOWN_FRACTION))
     }
 
     /// Returns the factor by which units counted at `from` have decayed at `now`.
-    fn remaining(&self, from: f64, now: f64) -> f64 {
+    fn decay(&self, from: f64, now: f64) -> f64 {
         ((from - now) / self.time_constant_s).exp()
     }
 }
--- a/src/scheduler/arrivals.rs
+++ b/src/scheduler/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrival of a request, and its way into and out of the node queues.
+//! Arrival of requests, and their insertion into and removal from the node queues.
 
 use super::Scheduler;
 use super::interface::{Action, IoRequest, RequestId, ShardId};
@@ -7,7 +7,7 @@
 use flaxgap_attempts::Attempts;
 
 impl Scheduler {
-    /// Takes in a request that arrived: rejects it if it can't be served, else queues it.
+    /// Accepts a request that arrived: queues it, or rejects it if its class is unknown or its deadline has passed.
     pub(super) fn accept_request(&mut self, request: &IoRequest, actions: &mut Vec<Action>) {
         if self.requests.contains(request.id) {
             return;
@@ -47,14 +47,14 @@
         }
     }
 
-    /// Whether the request is inside its volume's reserve; claims what it takes of it.
+    /// Returns whether the request fits its volume's unclaimed reserve, and claims its units if it does.
     fn claim_reserve(&mut self, request: &IoRequest) -> bool {
         self.volume_quotas.register(request);
         let buckets = self.volume_quotas.refill(request.volume, request.plan, self.now);
         buckets.is_none_or(|buckets| buckets.claim_reserve(request.units))
     }
 
-    /// Puts a request into the node queue of its shard; a new object is placed first.
+    /// Puts a request into the node queue of its shard. A new object is assigned a shard first.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let named_shard = self.requests[id].request.shard;
         let shard = named_shard.unwrap_or_else(|| self.place_new_object());
@@ -64,7 +64,7 @@
         self.node_queues.enqueue(id, shard, pending.request.class.0, self.now);
     }
 
-    /// Takes a request out of its node queue, if it is in one.
+    /// Removes a request from its node queue if it is queued.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         if pending.state == QueueState::Queued {
@@ -74,8 +74,8 @@
     }
 }
 
-/// When a request misses its latency objective. Not every client marks its retries: one that waits for less than its
-/// class's deadline is taken to have waited before.
+/// Returns the time after which a request misses its latency objective. Not every client marks its retries, so a
+/// client whose remaining time is below its class's deadline is assumed to have waited already.
 fn objective_at(class: &Class, now: f64, deadline_at: f64) -> f64 {
     class.latency_objective_s + now.min(deadline_at - class.deadline_s)
 }
--- a/src/scheduler/attempt_results.rs
+++ b/src/scheduler/attempt_results.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what it shows of its node, and whether the request is sent again.
+//! Results of attempts: updates the state of the node and decides whether the request is sent again.
 
 use super::Scheduler;
 use super::interface::{Action, AttemptOutcome, RequestId};
@@ -8,11 +8,11 @@
 use super::settings::{Idempotency, SchedulerSettings};
 use flaxgap_attempts::{Attempt, AttemptEnd};
 
-/// Multiples of a node's recent latency after which an attempt that was passed over is overdue.
+/// Time after which an overtaken attempt is overdue, in multiples of the node's recent latency.
 const OVERDUE_LATENCIES: f64 = 12.0;
 
 impl Scheduler {
-    /// Takes in the end of an attempt.
+    /// Handles the end of an attempt.
     pub(super) fn handle_attempt_end(
         &mut self,
         id: RequestId,
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Records what the attempt's end shows of the fleet and of its node, unless another node serves the shard now.
+    /// Updates the fleet latency and the state of the node. The node's state is left unchanged if the shard has since
+    /// moved to another node or the node has restarted.
     fn record_node_result(&mut self, id: RequestId, attempt: &Attempt, end: &AttemptEnd) {
         let pending = &self.requests[id];
         let is_answer = matches!(end.outcome, AttemptOutcome::Ok | AttemptOutcome::Error);
@@ -63,12 +64,12 @@
             elapsed_s: end.elapsed_s,
         };
         queue.record_answer(&answer, self.tightest_objective_s, self.now);
-        if queue.has_passed_over() {
-            self.node_queues.mark_passed_over(attempt.shard);
+        if queue.has_overtaken_attempt() {
+            self.node_queues.mark_overtaken_attempt(attempt.shard);
         }
     }
 
-    /// Queues a request for another attempt, or answers it if none is allowed.
+    /// Queues a request for another attempt, or answers the request if no further attempt is allowed.
     fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let pending = &self.requests[id];
         let idempotency = self.settings.classes[pending.request.class.0].idempotency;
@@ -82,8 +83,8 @@
         }
     }
 
-    /// A streamed body began to pass through: no deadline runs any more, and the attempt takes no place in its node's
-    /// window.
+    /// Handles the start of a streamed body: the request's deadline is stopped, and its attempt no longer counts
+    /// towards the node's concurrency window.
     pub(super) fn handle_streaming_started(&mut self, id: RequestId) {
         self.requests.stop_deadline(id);
         let Some(pending) = self.requests.get(id) else { return };
@@ -93,15 +94,15 @@
         }
     }
 
-    /// Cancels the attempts that are overdue for their size while their node answered later ones: the connection is
-    /// stalled or the answer is lost, and there is time for another attempt.
+    /// Cancels attempts that have taken too long for their size while the node answered later attempts. The connection
+    /// has stalled or the answer is lost, and there is time for another attempt.
     pub(super) fn cancel_overdue_attempts(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.mechanisms.cancellation {
             return;
         }
         let check = OverdueCheck { now: self.now, settings: &self.settings, requests: &self.requests };
         let tightest_objective_s = self.tightest_objective_s;
-        self.node_queues.for_each_passed_over(|queue| {
+        self.node_queues.for_each_with_overtaken_attempt(|queue| {
             let overdue_after_s = (OVERDUE_LATENCIES * queue.latency.recent_s()).max(tightest_objective_s);
             queue.in_flight.retain(|attempt| {
                 let cancel = check.cancellation(attempt, overdue_after_s);
@@ -113,7 +114,7 @@
     }
 }
 
-/// What tells whether an attempt is overdue.
+/// Inputs of the check for overdue attempts.
 struct OverdueCheck<'a> {
     now: f64,
     settings: &'a SchedulerSettings,
@@ -121,9 +122,10 @@
 }
 
 impl OverdueCheck<'_> {
-    /// The action that cancels an attempt, if it is overdue and its request may be sent again in time.
+    /// Returns the action that cancels an attempt, if the attempt is overdue and its request may be sent again in
+    /// time.
     fn cancellation(&self, in_flight: &InFlight, overdue_after_s: f64) -> Option<Action> {
-        if !in_flight.is_passed_over() {
+        if !in_flight.is_overtaken() {
             return None;
         }
         let pending = self.requests.get(in_flight.request).filter(|pending| !pending.is_completed())?;
--- a/src/scheduler/class_weights.rs
+++ b/src/scheduler/class_weights.rs
@@ -1,29 +1,30 @@
-//! The weights of the request classes, adapted to their latency objectives: the local adaptation of "An
-//! Observation-based Approach Towards Self-managing Web Servers", sections 3.4 (sampling) and 4.2 (adaptation).
+//! Weights of the request classes, adapted to their latency objectives: the local adaptation of "An Observation-based
+//! Approach Towards Self-managing Web Servers", sections 3.4 (sampling) and 4.2 (adaptation).
 //!
-//! The paper's symbols: class i has the weight w_i, the averaged delay d_i, the objective D_i and the slope m_i of its
-//! delay over its weight. At an adaptation the most underweight class gets weight from the overweight ones.
+//! The paper's symbols: class i has the weight w_i, the averaged delay d_i, the objective D_i, and the slope m_i of
+//! its delay over its weight. Each adaptation moves weight from the overweight classes to the most underweight class.
 
 use super::settings::Class;
 
-/// Sampling ticks between two adaptations while nothing has to settle.
+/// Minimum number of sampling ticks between two adaptations.
 pub(super) const ADAPTATION_TICKS: u32 = 4;
-/// Sampling ticks between two adaptations at most (8 s), while changes settle.
+/// Maximum number of sampling ticks between two adaptations (8 s), reached while the effect of changes settles.
 const MAX_ADAPTATION_TICKS: u32 = 16;
-/// Weight of the past in d_i (the paper's alpha).
+/// Weight of the previous value in d_i (the paper's alpha).
 const ALPHA: f64 = 0.5;
-/// Fraction of a computed donation that is committed (the paper's beta).
+/// Fraction of a computed donation that is applied (the paper's beta).
 const BETA: f64 = 0.5;
-/// Half-width of the band around D_i in which a class is balanced (the paper's epsilon).
+/// Half-width of the band around D_i within which a class is balanced (the paper's epsilon).
 const EPSILON: f64 = 0.1;
-/// Least weight, as a fraction of an even share: a starved class shows no delay to learn from.
+/// Minimum weight, as a fraction of an even share. A class without any weight would complete no requests and give no
+/// delays to adapt to.
 pub(super) const MIN_WEIGHT_FRACTION: f64 = 0.1;
-/// Least slope, as a fraction of the first estimate d_i / w_i.
+/// Minimum slope, as a fraction of the first estimate d_i / w_i.
 const MIN_SLOPE_FRACTION: f64 = 0.05;
-/// Fraction by which weight and delay both have to change before the slope is estimated anew.
+/// Minimum relative change of both weight and delay for a new estimate of the slope.
 const MIN_CHANGE_FRACTION: f64 = 0.02;
 
-/// A sum of delays and how many there were.
+/// Sum and number of delays.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DelaySum {
     pub(super) total_s: f64,
@@ -36,7 +37,7 @@
         self.count += 1;
     }
 
-    /// The mean, if there were any; starts anew.
+    /// Returns the mean and resets the sum; `None` if no delay was added.
     fn take_mean(&mut self) -> Option<f64> {
         if self.count == 0 {
             return None;
@@ -53,21 +54,21 @@
     delay_s: f64,
 }
 
-/// One class as the adaptation sees it.
+/// Adaptation state of one class.
 pub(super) struct ClassShare {
-    /// w_i: the class's weight in the fair queue. All weights sum to 1.
+    /// w_i: the class's weight in the fair queue. The weights of all classes sum to 1.
     pub(super) weight: f64,
-    /// D_i: the latency objective.
+    /// D_i: the latency objective, in seconds.
     objective_s: f64,
-    /// d_i: the averaged delay; `None` before the first.
+    /// d_i: the averaged delay, in seconds; `None` before the first adaptation with samples.
     delay_s: Option<f64>,
-    /// m_i: seconds of delay by which a unit of weight changes d_i; `None` before the first estimate.
+    /// m_i: change of d_i, in seconds, per unit of weight; `None` before the first estimate.
     pub(super) slope: Option<f64>,
-    /// Where the slope was estimated last.
+    /// Weight and delay at the last estimate of the slope.
     estimated_at: OperatingPoint,
     /// Delays since the last sampling tick.
     current_tick: DelaySum,
-    /// Mean delays of the ticks since the last adaptation.
+    /// Mean delays of the sampling ticks since the last adaptation.
     pub(super) tick_means: DelaySum,
 }
 
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Ends a sampling tick.
+    /// Adds the mean delay of the ending sampling tick to `tick_means`.
     fn end_tick(&mut self) {
         if let Some(mean_s) = self.current_tick.take_mean() {
             self.tick_means.add(mean_s);
@@ -99,8 +100,8 @@
         self.update_slope(delay_s);
     }
 
-    /// m_i = |change of d_i| / |change of w_i| since the last estimate, once both have changed enough. The first
-    /// estimate is d_i / w_i.
+    /// m_i = |change of d_i| / |change of w_i| since the last estimate, updated once both have changed enough. The
+    /// first estimate is d_i / w_i.
     fn update_slope(&mut self, delay_s: f64) {
         let first_estimate = delay_s / self.weight;
         let weight_change = (self.weight - self.estimated_at.weight).abs();
@@ -114,7 +115,7 @@
         }
     }
 
-    /// What the adaptation works with, once delay and slope are known.
+    /// Returns the class's delay, slope and objective, once delay and slope are known.
     fn measured(&self) -> Option<MeasuredClass> {
         let measured =
             MeasuredClass { delay_s: self.delay_s?, slope: self.slope?, objective_s: self.objective_s };
@@ -122,34 +123,34 @@
     }
 }
 
-/// The figures of a class whose delay and slope are known.
+/// Delay, slope and objective of a class for which all three are known.
 #[derive(Clone, Copy)]
 struct MeasuredClass {
-    /// d_i.
+    /// d_i, in seconds.
     delay_s: f64,
-    /// m_i.
+    /// m_i, in seconds per unit of weight.
     slope: f64,
-    /// D_i.
+    /// D_i, in seconds.
     objective_s: f64,
 }
 
 impl MeasuredClass {
-    /// d_i >= (1 + epsilon) * D_i: misses its objective.
+    /// d_i >= (1 + epsilon) * D_i: the class misses its objective.
     fn is_underweight(&self) -> bool {
         self.delay_s >= (1.0 + EPSILON) * self.objective_s
     }
 
-    /// d_i <= (1 - epsilon) * D_i: more than meets its objective.
+    /// d_i <= (1 - epsilon) * D_i: the class meets its objective with a margin.
     fn is_overweight(&self) -> bool {
         self.delay_s <= (1.0 - EPSILON) * self.objective_s
     }
 
-    /// d_i / D_i: the largest is the most underweight class.
+    /// d_i / D_i: the class with the highest ratio is the most underweight.
     fn delay_ratio(&self) -> f64 {
         self.delay_s / self.objective_s
     }
 
-    /// Delta w_i = (d_i - D_i) / m_i: the weight that an underweight class needs.
+    /// Delta w_i = (d_i - D_i) / m_i: the additional weight that an underweight class needs.
     fn needed_weight(&self) -> f64 {
         (self.delay_s - self.objective_s) / self.slope
     }
@@ -159,19 +160,20 @@
         (self.objective_s - self.delay_s) / self.slope
     }
 
-    /// clamped_donation_j = ((1 - epsilon) * D_j - d_j) / m_j: keeps the donor within its band.
+    /// clamped_donation_j = ((1 - epsilon) * D_j - d_j) / m_j: the largest donation that keeps the donor within its
+    /// band.
     fn clamped_donation(&self) -> f64 {
         ((1.0 - EPSILON) * self.objective_s - self.delay_s) / self.slope
     }
 }
 
-/// The class that is given weight at an adaptation.
+/// The class that receives weight at an adaptation.
 struct Receiver {
     index: usize,
     measured: MeasuredClass,
 }
 
-/// The weights of all classes, and when they are adapted next.
+/// The weights of all classes and the schedule of their adaptation.
 pub(super) struct ClassWeights {
     pub(super) classes: Vec<ClassShare>,
     pub(super) ticks_to_adaptation: u32,
@@ -179,7 +181,7 @@
 }
 
 impl ClassWeights {
-    /// Even weights.
+    /// Creates even weights.
     pub(super) fn new(classes: &[Class]) -> ClassWeights {
         let even_weight = 1.0 / classes.len() as f64;
         let shares = classes.iter().map(|class| ClassShare::new(even_weight, class.latency_objective_s));
@@ -190,18 +192,18 @@
         }
     }
 
-    /// The weight of a class.
+    /// Returns the weight of a class.
     pub(super) fn weight(&self, class: usize) -> f64 {
         self.classes[class].weight
     }
 
-    /// Samples the delay of a request, from arrival to end.
+    /// Records the delay of a request of a class, from arrival to end.
     pub(super) fn record_delay(&mut self, class: usize, delay_s: f64) {
         self.classes[class].current_tick.add(delay_s);
     }
 
-    /// Ends a sampling tick, and adapts the weights when that is due. While changes settle the interval doubles
-    /// (section 4.2, "Settling").
+    /// Ends a sampling tick and, if due, adapts the weights. The interval between adaptations doubles as long as each
+    /// adaptation changes a weight (section 4.2, "Settling").
     pub(super) fn end_tick(&mut self) {
         for class in &mut self.classes {
             class.end_tick();
@@ -218,7 +220,7 @@
         self.ticks_to_adaptation = self.adaptation_ticks;
     }
 
-    /// One adaptation (section 4.2). Returns whether a weight changed.
+    /// Performs one adaptation (section 4.2). Returns whether a weight changed.
     pub(super) fn adapt(&mut self) -> bool {
         for class in &mut self.classes {
             class.update_delay();
@@ -229,7 +231,7 @@
         received > 0.0
     }
 
-    /// The class with the highest d_i / D_i among the underweight ones; of equals the last.
+    /// Returns the underweight class with the highest d_i / D_i; the last one of equals.
     fn most_underweight(&self) -> Option<Receiver> {
         let mut worst: Option<Receiver> = None;
         for (index, class) in self.classes.iter().enumerate() {
@@ -242,8 +244,8 @@
         worst
     }
 
-    /// Takes weight from the overweight classes, by their surplus: donation_j = Delta w_i * s_j / sum_k s_k, clamped,
-    /// and of that the fraction beta. Returns what was taken in all.
+    /// Takes weight from the overweight classes in proportion to their surplus: donation_j = Delta w_i * s_j / sum_k
+    /// s_k, clamped, of which the fraction beta is applied. Returns the total weight taken.
     fn collect_donations(&mut self, needed_weight: f64) -> f64 {
         let overweight = |class: &ClassShare| class.measured().filter(MeasuredClass::is_overweight);
         let total_surplus: f64 =
--- a/src/scheduler/class_weights_tests.rs
+++ b/src/scheduler/class_weights_tests.rs
@@ -1,9 +1,9 @@
-//! The steps of the weights' adaptation, their numbers worked out by hand.
+//! Tests of the weight adaptation against values worked out by hand.
 
 use super::class_weights::{ADAPTATION_TICKS, ClassWeights, DelaySum, MIN_WEIGHT_FRACTION};
 use super::common;
 
-/// Gives three classes with objectives of 0.2, 0.3 and 0.8 s these mean delays since the last adaptation.
+/// Sets the mean delays since the last adaptation of three classes with objectives of 0.2, 0.3 and 0.8 s.
 fn set_delays(weights: &mut ClassWeights, delays: [f64; 3]) {
     for (class, delay) in weights.classes.iter_mut().zip(delays) {
         class.tick_means = DelaySum { total_s: delay * 2.0, count: 2 };
@@ -16,19 +16,19 @@
 
 fn assert_weights(weights: &ClassWeights, expected: [f64; 3]) {
     for (class, weight) in weights.classes.iter().zip(expected) {
-        assert!((class.weight - weight).abs() < 1e-9, "{} is not {weight}", class.weight);
+        assert!((class.weight - weight).abs() < 1e-9, "weight is {}, expected {weight}", class.weight);
     }
 }
 
 #[test]
 fn a_donation_covers_half_the_need_and_slopes_are_refitted() {
     let mut weights = even_weights();
-    // First slopes are delay over weight: 1.2 and 0.6. Need 0.2 / 1.2 = 1/6, half committed: 1/12.
+    // Initial slopes are delay over weight: 1.2 and 0.6. The need is 0.2 / 1.2 = 1/6, of which half is applied: 1/12.
     set_delays(&mut weights, [0.4, 0.3, 0.2]);
     assert!(weights.adapt());
     assert_weights(&weights, [5.0 / 12.0, 1.0 / 3.0, 0.25]);
-    // Averaged: 0.35 and 0.24. Refitted: 0.05 / (1/12) = 0.6 and 0.04 / (1/12) = 0.48.
-    // Need 0.15 / 0.6 = 0.25, half committed.
+    // Averaged delays: 0.35 and 0.24. New slopes: 0.05 / (1/12) = 0.6 and 0.04 / (1/12) = 0.48. The need is 0.15 / 0.6
+    // = 0.25, of which half is applied.
     set_delays(&mut weights, [0.3, 0.3, 0.28]);
     assert!(weights.adapt());
     assert!((weights.classes[0].slope.expect("known") - 0.6).abs() < 1e-9);
@@ -39,7 +39,8 @@
 #[test]
 fn donors_give_in_proportion_to_their_surplus() {
     let mut weights = even_weights();
-    // Slopes 1.2, 0.3, 0.6; surpluses 0.2 / 0.3 = 2/3 and 0.6 / 0.6 = 1; need 1/6 split 2 to 3, half of it.
+    // Slopes are 1.2, 0.3 and 0.6; surpluses 0.2 / 0.3 = 2/3 and 0.6 / 0.6 = 1. The need of 1/6 is split 2 to 3, and
+    // half of it is applied.
     set_delays(&mut weights, [0.4, 0.1, 0.2]);
     assert!(weights.adapt());
     let third = 1.0 / 3.0;
@@ -49,7 +50,7 @@
 #[test]
 fn a_donation_is_clamped_to_the_bands_edge() {
     let mut weights = even_weights();
-    // The donor's slope is 2.1; the edge 0.72 leaves 0.02 / 2.1, half of it is committed.
+    // The donor's slope is 2.1. Up to the edge of its band at 0.72 it can spare 0.02 / 2.1, of which half is applied.
     set_delays(&mut weights, [0.4, 0.3, 0.7]);
     assert!(weights.adapt());
     assert_weights(&weights, [1.0 / 3.0 + 0.01 / 2.1, 1.0 / 3.0, 1.0 / 3.0 - 0.01 / 2.1]);
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn the_interval_doubles_to_eight_seconds_and_returns() {
+fn the_interval_doubles_to_eight_seconds_and_resets() {
     let mut weights = even_weights();
     let mut intervals = Vec::new();
     for delay in [0.4, 0.4, 0.4, 0.2, 0.2, 0.2, 0.2] {
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its final answer, the advice when to retry, and what is counted of it.
+//! Completion of a request: the final answer, the `retry_after` advice and the statistics.
 
 use super::Scheduler;
 use super::interface::{Action, Admission, RequestId};
@@ -7,7 +7,7 @@
 use super::retry_rules;
 
 impl Scheduler {
-    /// Answers a request that was not served: a rejection where the retry rules allow one, else a failure.
+    /// Answers a request that was not served: rejects it if the retry rules allow a rejection, otherwise fails it.
     pub(super) fn finish_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id) else { return };
         let idempotency = self.settings.classes[pending.request.class.0].idempotency;
@@ -24,8 +24,9 @@
         self.complete(id);
     }
 
-    /// Seconds until a rejected client should retry: its volume's limit admits the request then, the node's pause and
-    /// the shedding level are over. An estimate for a request that arrives alone.
+    /// Returns the seconds after which a rejected client should retry: until the volume's limit admits the request,
+    /// and the node's backoff and the shedding level have ended. The estimate does not account for other requests that
+    /// arrive meanwhile.
     fn retry_after_s(&mut self, id: RequestId) -> f64 {
         let pending = &self.requests[id];
         let Some(queue) = self.node_queues.get(pending.shard) else { return LONGEST_PAUSE_S };
@@ -41,7 +42,7 @@
         limit_wait_s.max(node_wait_s).max(shedding_s)
     }
 
-    /// Cancels a request's attempts that are in flight.
+    /// Cancels the attempts of a request that are in flight.
     pub(super) fn cancel_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if !self.settings.mechanisms.cancellation {
             return;
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Completes a request. It stays known, for the order within its extent, until its last attempt has ended.
+    /// Completes a request. The request stays in the table until its last attempt has ended, to preserve the order
+    /// within its extent.
     pub(super) fn complete(&mut self, id: RequestId) {
         self.dequeue(id);
         self.requests.stop_deadline(id);
@@ -67,8 +69,8 @@
         self.requests.remove(id);
     }
 
-    /// Counts how a request ended, if it was inside its volume's reserve at arrival. Others are not sampled: the
-    /// surplus of a volume far beyond its reserve waits long, and would draw weight to the class it happens to be in.
+    /// Records how a request ended, if it was inside its volume's reserve at arrival. Other requests are not sampled:
+    /// the surplus of a volume far beyond its reserve waits long and would shift weight to the class of that surplus.
     pub(super) fn record_delay(&mut self, id: RequestId, delay_s: f64, is_served: bool) {
         let Some(pending) = self.requests.get(id) else { return };
         if pending.is_completed() || !pending.is_reserved {
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: sends the queued requests that may go to their nodes, the best first.
+//! Dispatch: sends queued requests to their nodes, in the order of their rank.
 
 use super::Scheduler;
 use super::evaluation::{Candidate, QueueEvaluation};
@@ -8,11 +8,11 @@
 use super::pending_requests::QueueState;
 use flaxgap_attempts::Attempt;
 
-/// Multiples of the tightest latency objective for which a trial request is waited for.
+/// Timeout of a trial request, in multiples of the tightest latency objective.
 const TRIAL_OBJECTIVES: f64 = 2.0;
 
 impl Scheduler {
-    /// Sends what may be sent from all node queues.
+    /// Sends every queued request that may be sent now.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         for shard in self.node_queues.shards_with_queued() {
             while let Some(candidate) = self.best_candidate(shard) {
@@ -47,7 +47,7 @@
         evaluation.best_candidate()
     }
 
-    /// Sends a queued request to its shard's node and charges class, volume, slow start and retry budget.
+    /// Sends a queued request to its shard's node and charges the class, volume, slow start and retry budget.
     fn send(&mut self, shard: ShardId, candidate: Candidate, actions: &mut Vec<Action>) {
         let Some(queue) = self.node_queues.get(shard) else { return };
         let Some(id) = queue.queued_at(candidate.position) else { return };
@@ -58,7 +58,7 @@
         self.start_attempt(shard, id, is_trial, actions);
     }
 
-    /// Takes the request out of the node queue, and charges its class and volume there.
+    /// Removes the request from the node queue and charges its class and volume in the fair queue.
     fn charge_queue(&mut self, shard: ShardId, id: RequestId, candidate: Candidate) {
         let Some(queue) = self.node_queues.dequeue_at(shard, candidate.position) else { return };
         let request = &self.requests[id].request;
@@ -97,7 +97,7 @@
             sent_at: self.now,
             outcome: None,
         });
-        // A trial only shows whether the node answers again; it need not take all of its client's time.
+        // A trial only shows whether the node answers again, so it need not use all of the client's remaining time.
         let trial_ends_at = self.now + TRIAL_OBJECTIVES * self.tightest_objective_s;
         let expires_at = if is_trial { pending.deadline_at.min(trial_ends_at) } else { pending.deadline_at };
         actions.push(Action::Send { request: id, node: node.node, expires_at });
--- a/src/scheduler/endpoint_polling.rs
+++ b/src/scheduler/endpoint_polling.rs
@@ -1,14 +1,14 @@
-//! When to poll the endpoint list, where it has to be polled: at an interval, and with a randomised backoff after a
-//! failed poll, since the service fails when all heads poll at once.
+//! Schedule for polling the endpoint list, used where the list has to be polled: a fixed interval, and a randomised
+//! backoff after a failed poll, since the list's service fails if all heads poll at the same time.
 
 use super::interface::{Action, UpdateKind};
 use super::random::RandomNumbers;
 
-/// First and longest delay before a failed poll is repeated, in seconds.
+/// Initial and maximum delay before a failed poll is repeated, in seconds.
 const FIRST_DELAY_S: f64 = 0.5;
 const LONGEST_DELAY_S: f64 = 8.0;
 
-/// The next poll, and the backoff after failed ones.
+/// The time of the next poll and the state of the backoff.
 pub(super) struct EndpointPolling {
     interval_s: Option<f64>,
     next_poll_at: Option<f64>,
@@ -16,12 +16,12 @@
 }
 
 impl EndpointPolling {
-    /// Polls at once where the list has to be polled; never where `interval_s` is `None`.
+    /// Creates a schedule whose first poll is due at once. Without an `interval_s` no poll is ever due.
     pub(super) fn new(interval_s: Option<f64>, now: f64) -> EndpointPolling {
         EndpointPolling { interval_s, next_poll_at: interval_s.map(|_| now), retry_delay_s: FIRST_DELAY_S }
     }
 
-    /// Takes in the result of a poll. A cached list is not one.
+    /// Processes the result of a poll. A cached list does not count as a result.
     pub(super) fn record_update(&mut self, kind: UpdateKind, now: f64, random: &mut RandomNumbers) {
         if self.interval_s.is_none() {
             return;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Asks for a poll if one is due.
+    /// Requests a poll if one is due.
     pub(super) fn poll_if_due(&mut self, now: f64, actions: &mut Vec<Action>) {
         if let Some(due_at) = self.next_poll_at.filter(|at| now >= *at) {
             actions.push(Action::PollEndpoints);
@@ -47,7 +47,7 @@
         }
     }
 
-    /// When the next poll is due; infinity for none.
+    /// Returns the time of the next poll; infinity if none is scheduled.
     pub(super) fn next_poll_at(&self) -> f64 {
         self.next_poll_at.unwrap_or(f64::INFINITY)
     }
--- a/src/scheduler/evaluation.rs
+++ b/src/scheduler/evaluation.rs
@@ -1,4 +1,5 @@
-//! Evaluation of a queued request: whether it may go to its node now, and its place among those that may.
+//! Evaluation of queued requests: whether a request may be sent to its node now, and its rank among the requests that
+//! may.
 
 use super::extent_order::{ExtentOrder, ExtentTurn};
 use super::fair_queue::{Band, BandRank, Rank};
@@ -14,21 +15,22 @@
 use super::timers::Timers;
 use super::volume_quotas::VolumeQuotas;
 
-/// Shared requests that all heads together keep in flight at a node under pressure on average, one a head, however
-/// slow the node is: so its latency stays known.
+/// Mean number of shared requests that all heads together keep in flight at a node under pressure, at most one per
+/// head, however slow the node is. These requests keep the node's latency known.
 const MAX_IN_FLIGHT_UNDER_PRESSURE: f64 = 6.0;
-/// A request that waits for a node under pressure is evaluated again so many times within the tightest objective.
+/// Number of times, within the tightest latency objective, at which a request that waits for a node under pressure is
+/// evaluated again.
 const PRESSURE_CHECKS: f64 = 8.0;
 
-/// A queued request that may go to its node now.
+/// A queued request that may be sent to its node now.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
     pub(super) rank: Rank,
     pub(super) position: QueuePosition,
 }
 
-/// What the requests in one node queue are evaluated by. Where a request has to wait, the moment at which to evaluate
-/// it again is noted in `timers`.
+/// The state by which the requests of one node queue are evaluated. If a request has to wait, the time of its next
+/// evaluation is recorded in `timers`.
 pub(super) struct QueueEvaluation<'a> {
     pub(super) now: f64,
     pub(super) settings: &'a SchedulerSettings,
@@ -45,10 +47,10 @@
 }
 
 impl<'a> QueueEvaluation<'a> {
-    /// The request with the lowest rank. A class whose best request is of a worse band waits for the other classes'
-    /// better ones, since what is sent first delays the rest in the node's own queue.
+    /// Returns the request with the lowest rank. A class whose best request is in a worse band waits for better-band
+    /// requests of other classes, since a request sent first would delay them in the node's own queue.
     pub(super) fn best_candidate(&mut self) -> Option<Candidate> {
-        // Evaluation changes the queue's other fields.
+        // `evaluate` mutates other fields of the queue, so the lists are moved out while they are iterated.
         let queued_by_class = std::mem::take(&mut self.queue.queued_by_class);
         let mut best: Option<Candidate> = None;
         for (class, queued) in queued_by_class.iter().enumerate() {
@@ -65,18 +67,18 @@
         best
     }
 
-    /// A request's band and its place within it, if it may be sent now.
+    /// Returns the band of a request and its key within the band, or `None` if the request must wait.
     ///
-    /// The order of the steps matters. The volume's buckets are refilled for each request, but the node's slow-start
-    /// tokens only where the checks before that one pass: refilling in other steps would change the buckets'
-    /// floating-point results and time stamps. A check that fails also says when to evaluate again.
-    /// `tests/equivalence.rs` pins the decisions that follow.
+    /// The order of the checks matters. The volume's buckets are refilled for every request, but the node's slow-start
+    /// tokens only if the preceding checks pass: refilling at other times would change the floating-point results and
+    /// time stamps of the buckets. A failed check records when to evaluate the request again. `tests/equivalence.rs`
+    /// verifies that the decisions stay the same.
     fn evaluate(&mut self, id: RequestId) -> Option<BandRank> {
         let requests: &'a PendingRequests = self.requests;
         let pending = &requests[id];
         let request = &pending.request;
         let buckets = self.volume_quotas.refill(request.volume, request.plan, self.now);
-        // An unknown volume has no reserve.
+        // A volume without buckets has no reserve.
         let reserve = buckets.map_or(-1.0, |buckets| buckets.reserve());
         let may_send = self.may_send_by_retry_rules(pending)
             && self.is_turn_in_extent(pending)
@@ -103,7 +105,7 @@
         let Some(extent) = pending.ordered_extent else { return true };
         match self.extent_order.turn(extent, pending.request.id, pending.is_retry(), self.now) {
             ExtentTurn::Ready => true,
-            ExtentTurn::BehindAnother => false,
+            ExtentTurn::BehindEarlier => false,
             ExtentTurn::PausedUntil(at) => {
                 self.timers.evaluate_again_at(at);
                 false
@@ -134,21 +136,21 @@
         BandRank { band: Band::Shared, key: volume_tag }
     }
 
-    /// Whether the request would be answered after its latency objective.
+    /// Returns whether the request would be answered after its latency objective.
     fn is_late(&self, pending: &PendingRequest) -> bool {
         let latency_s = self.queue.latency.class_mean_s(pending.request.class.0);
         self.now + latency_s > pending.objective_at
     }
 
-    /// Estimated latency divided by the pressure threshold; above 1 the node is under pressure.
+    /// Returns the estimated latency divided by the pressure threshold; a node with a value above 1 is under pressure.
     fn pressure(&self) -> f64 {
         let latency_s = self.queue.estimated_latency_s(self.now, self.fleet_latency);
         latency_s / (PRESSURE_FRACTION * self.tightest_objective_s)
     }
 
-    /// Whether the shedding level in force lets the request go now. At `WithinReserve` a request that is
-    /// late or outside its reserve goes only to an idle node that is not under pressure; at `TrialOnly` any request
-    /// goes only to an idle node. A node is idle if this process has nothing in flight there.
+    /// Returns whether the shedding level in force admits the request now. At `WithinReserve`, a request that is late
+    /// or beyond its reserve is sent only to an idle node that is not under pressure. At `TrialOnly`, any request is
+    /// sent only to an idle node. A node is idle if this process has no request in flight there.
     fn is_admitted(&self, pending: &PendingRequest, band: Band, pressure: f64) -> bool {
         let is_idle = self.queue.in_flight.is_empty();
         match self.load_shedding.admission(&pending.request, self.queue, self.now) {
@@ -158,14 +160,15 @@
         }
     }
 
-    /// Whether the request may go to the node although the node may be under pressure, so that its own queue delays
-    /// reserved work.
+    /// Returns whether the request may be sent given the node's pressure. Under pressure the node's own queue delays
+    /// reserved work, so some requests wait:
     ///
     /// - Late work waits for a node under pressure.
     /// - Shared work waits for a node under pressure while this head has a request in flight there.
-    /// - Beyond `MAX_IN_FLIGHT_UNDER_PRESSURE` over all heads, the heads that still send are picked at random by the
-    ///   request's `sample`, the fewer the slower the node: shared work waits if the pressure is above `1 + sample`,
-    ///   reserved work if the estimated latency is above `1 + sample` times the tightest objective.
+    /// - A request is in excess if its random `sample` times the number of heads is above
+    ///   `MAX_IN_FLIGHT_UNDER_PRESSURE`. Shared work in excess waits if the pressure is above `1 + sample`, reserved
+    ///   work in excess if the estimated latency is above `1 + sample` times the tightest objective. So the slower the
+    ///   node, the fewer heads send to it.
     fn fits_pressure(&mut self, pending: &PendingRequest, band: Band, pressure: f64) -> bool {
         let is_excess = pending.sample * f64::from(self.settings.heads) > MAX_IN_FLIGHT_UNDER_PRESSURE;
         let has_in_flight = !self.queue.in_flight.is_empty();
@@ -184,7 +187,8 @@
         !pending.is_retry() || self.retry_budget.allows_retry(self.now)
     }
 
-    /// Whether the request fits its volume's rate limit. One that a node has received is not charged again.
+    /// Returns whether the request fits its volume's rate limit. A request that a node has already received is not
+    /// charged again.
     fn fits_volume_limit(&mut self, pending: &PendingRequest) -> bool {
         if pending.attempts.was_received() {
             return true;
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -1,24 +1,25 @@
-//! Expiry: requests are answered in time for their clients, and late work at once when it has no prospect of being
-//! sent in time.
+//! Expiry of queued requests. A request is answered before its client's deadline, and earlier if it can't be sent
+//! within the time that it may wait.
 
 use super::Scheduler;
 use super::interface::{Action, RequestId};
 use super::retry_rules;
 
-/// Scheduler ticks before a client's deadline at which a queued request is answered, so that the answer is in time.
+/// Scheduler ticks before a client's deadline at which a queued request is answered, so that the answer arrives in
+/// time.
 const ANSWER_TICKS: f64 = 2.0;
-/// Fraction of its time that late work waits for its first attempt: rejected later, the client has lost more than
-/// the late answer would earn.
+/// Fraction of its time limit that late work waits for its first attempt. If it is rejected later than that, the
+/// client loses more than a late answer would earn.
 const LATE_WAIT_FRACTION: f64 = 0.45;
 
 impl Scheduler {
-    /// Seconds before its deadline at which a request has to be answered.
+    /// Returns the seconds before its deadline at which a queued request must be answered.
     pub(super) fn answer_margin_s(&self) -> f64 {
         ANSWER_TICKS * self.settings.tick_s
     }
 
-    /// Answers the queued requests at the last moment before their deadline, and those with an attempt in flight
-    /// once their deadline has passed.
+    /// Answers the queued requests whose deadline is within the answer margin, and the requests with an attempt in
+    /// flight whose deadline has passed.
     pub(super) fn expire_requests(&mut self, actions: &mut Vec<Action>) {
         let last_moment = self.now + self.answer_margin_s();
         for id in self.requests.overdue(self.now, last_moment) {
@@ -26,8 +27,8 @@
         }
     }
 
-    /// Answers the queued requests that have no prospect: a retry whose window has ended, and work that its volume's
-    /// limit admits neither in time nor, late, within its wait limit.
+    /// Answers the queued requests that should not wait any longer: retries whose retry window has ended, and work
+    /// that its volume's limit admits neither within the latency objective nor, as late work, within its wait limit.
     pub(super) fn expire_late_work(&mut self, actions: &mut Vec<Action>) {
         let late_wait_fraction = self.late_wait_fraction();
         for id in self.node_queues.queued_requests() {
@@ -37,13 +38,14 @@
         }
     }
 
-    /// The fraction of its time that late work waits. With half of the clients' connections waiting it waits no
-    /// more: other requests need the connections.
+    /// Returns the fraction of its time limit that late work waits. The fraction is 0 while more than half of the
+    /// clients' connections are in use, since other requests need the connections.
     fn late_wait_fraction(&self) -> f64 {
         if self.requests.len() > self.settings.max_pending / 2 { 0.0 } else { LATE_WAIT_FRACTION }
     }
 
-    /// Whether a queued request is to be answered now. If not, the moment to look again is noted.
+    /// Returns whether a queued request must be answered now. If not, the time of the next check is recorded in the
+    /// timers.
     fn has_expired(&mut self, id: RequestId, late_wait_fraction: f64) -> bool {
         let now = self.now;
         let pending = &self.requests[id];
@@ -66,9 +68,9 @@
 
         let fits_in_time =
             is_in_time && now + self.volume_quotas.limit_wait_s(request, false, now) <= late_at;
-        let has_no_prospect = !pending.attempts.was_received()
+        let exceeds_wait_limit = !pending.attempts.was_received()
             && !fits_in_time
             && now + self.volume_quotas.limit_wait_s(request, true, now) > wait_ends_at;
-        has_no_prospect || now + self.settings.tick_s >= window_ends_at
+        exceeds_wait_limit || now + self.settings.tick_s >= window_ends_at
     }
 }
--- a/src/scheduler/fair_queue.rs
+++ b/src/scheduler/fair_queue.rs
@@ -1,43 +1,44 @@
-//! Weighted fair queueing before one node, by start tags (start-time fair queueing). Classes share the node by the
-//! adapted weights (`class_weights.rs`); within a class, work beyond the reserves is shared among the volumes by the
-//! weights of their plans.
+//! Weighted fair queueing for one node, by start tags (start-time fair queueing). Classes share the node by the
+//! adapted weights (`class_weights.rs`). Within a class, volumes share the work beyond their reserves by the weights
+//! of their plans.
 
 use super::interface::VolumeId;
 use std::collections::BTreeMap;
 
-/// The band of a queued request: all work of a better band goes before any of a worse one.
+/// Priority band of a queued request: requests of a better band are sent before any request of a worse band.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Band {
-    /// Inside its volume's reserve, and in time.
+    /// Within its volume's reserve, and expected to meet its latency objective.
     Reserved,
-    /// Beyond its volume's reserve, and in time.
+    /// Beyond its volume's reserve, and expected to meet its latency objective.
     Shared,
-    /// Would be answered after its latency objective.
+    /// Expected to be answered after its latency objective.
     Late,
 }
 
-/// The place of a request among those that could be sent next; the lowest goes first. Fields are compared in order.
+/// Order of a request among those that may be sent now; the lowest rank is sent first. Fields are compared in their
+/// order of declaration.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct Rank {
-    /// The request's band.
+    /// Priority band of the request.
     pub(super) band: Band,
-    /// Its class's start tag.
+    /// Start tag of the request's class.
     pub(super) class_tag: f64,
-    /// Its place within band and class: see [`BandRank::key`].
+    /// Order within band and class; see [`BandRank::key`].
     pub(super) key: f64,
 }
 
-/// The band of a request, and its place among those of its class in the same band.
+/// Priority band of a request and its order among the requests of its class in that band.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct BandRank {
-    /// The band.
+    /// Priority band of the request.
     pub(super) band: Band,
-    /// The lower, the earlier: the moment of the latency objective for reserved work, the volume's start tag for
-    /// shared work, the deadline for late work.
+    /// Sort key, lowest first: the time of the latency objective for reserved work, the volume's start tag for shared
+    /// work, the deadline for late work.
     pub(super) key: f64,
 }
 
-/// The virtual times and tags of the classes and volumes at one node.
+/// Virtual times and finish tags of the classes and volumes at one node.
 pub(super) struct FairQueue {
     class_finish_tags: Vec<f64>,
     class_virtual_time: f64,
@@ -46,7 +47,7 @@
 }
 
 impl FairQueue {
-    /// Nothing was sent yet.
+    /// Creates the tags of a node that no request has been sent to.
     pub(super) fn new(classes: usize) -> FairQueue {
         FairQueue {
             class_finish_tags: vec![0.0; classes],
@@ -56,12 +57,12 @@
         }
     }
 
-    /// The start tag of a class's next request.
+    /// Returns the start tag of a class's next request.
     pub(super) fn class_start_tag(&self, class: usize) -> f64 {
         self.class_finish_tags[class].max(self.class_virtual_time)
     }
 
-    /// The start tag of a volume's next request beyond its reserve.
+    /// Returns the start tag of a volume's next request beyond its reserve.
     pub(super) fn volume_start_tag(&self, volume: VolumeId) -> f64 {
         let finish_tag = self.volume_finish_tags.get(&volume).copied().unwrap_or(0.0);
         finish_tag.max(self.volume_virtual_time)
@@ -82,13 +83,14 @@
         self.volume_virtual_time = start_tag;
     }
 
-    /// Forgets the volumes that virtual time has caught up with: their tags have no effect any more.
-    pub(super) fn forget_idle_volumes(&mut self) {
+    /// Removes the volumes whose finish tag is not above the virtual time, since these tags no longer affect the
+    /// order.
+    pub(super) fn remove_idle_volumes(&mut self) {
         let virtual_time = self.volume_virtual_time;
         self.volume_finish_tags.retain(|_, finish_tag| *finish_tag > virtual_time);
     }
 
-    /// How many volumes have a tag.
+    /// Returns the number of volumes with a finish tag.
     #[cfg(test)]
     pub(super) fn tagged_volumes(&self) -> usize {
         self.volume_finish_tags.len()
--- a/src/scheduler/interface.rs
+++ b/src/scheduler/interface.rs
@@ -1,100 +1,101 @@
-//! The interface of the scheduler: the events it receives, the actions it asks for, and the types of both.
+//! The interface of the scheduler: the events that the scheduler receives, the actions that it requests, and their
+//! types.
 //!
-//! Times are seconds on a clock of the caller's choosing that never runs backwards. A field with the suffix `_s` is a
-//! duration; one with the suffix `_at` is a moment.
+//! Times are seconds on a monotonic clock chosen by the caller. A field with the suffix `_s` is a duration; a field
+//! with the suffix `_at` is a point in time.
 
 pub use flaxgap_attempts::AttemptOutcome;
 pub use flaxgap_shard_table::{Endpoint, NodeId, NodeState, ShardId, UpdateKind, ZoneId};
 
-/// A request as the caller knows it; never used twice in one life of a scheduler.
+/// Identifies a request. The caller assigns it and must not reuse it during the lifetime of a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// A volume: reserve, limit and quota are counted for each.
+/// Identifies a volume, the unit to which reserve, limit and quota apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeId(pub u64);
 
-/// The piece of data that a request reads or writes.
+/// Identifies an extent, the piece of data that a request reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExtentId(pub u64);
 
-/// A request class: an index into [`SchedulerSettings::classes`](super::SchedulerSettings::classes).
+/// Identifies a request class: an index into [`SchedulerSettings::classes`](super::SchedulerSettings::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// A plan: an index into [`SchedulerSettings::plans`](super::SchedulerSettings::plans).
+/// Identifies a plan: an index into [`SchedulerSettings::plans`](super::SchedulerSettings::plans).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanId(pub usize);
 
-/// A node's report on its own load; a figure that it does not report is `None`.
+/// A node's report on its own load. Values that the node does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in its queue.
+    /// Number of requests in the node's queue.
     pub queue_length: Option<f64>,
-    /// Fraction of its processors in use.
+    /// Fraction of the node's processor capacity in use.
     pub utilization: Option<f64>,
     /// Recent service time, in seconds.
     pub latency_s: Option<f64>,
 }
 
-/// How much of a class's work on a plan is admitted while load is shed; each admits less than the one before.
+/// Which requests of a class and plan are admitted while load is shed. Each variant admits less than the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Admission {
-    /// Everything.
+    /// Admits every request.
     #[default]
     All,
-    /// What is inside the volume's reserve, and inside its quota of what is left.
+    /// Admits requests within the volume's reserve or within its quota of the remaining capacity.
     WithinQuota,
-    /// What is inside the volume's reserve.
+    /// Admits requests within the volume's reserve only.
     WithinReserve,
-    /// One request at a time, as a trial of whether the nodes answer again.
+    /// Admits one request at a time, as a trial of whether the nodes answer again.
     TrialOnly,
 }
 
-/// What is admitted of the work that only one zone can serve.
+/// Admission of requests that can be served in one zone only.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneAdmission {
-    /// The zone.
+    /// The zone to which the table applies.
     pub zone: ZoneId,
-    /// What is admitted, by class and plan.
+    /// Admission by class and plan.
     pub admission: Vec<Vec<Admission>>,
 }
 
-/// A load-shedding level as it is in force. Classes and plans that its tables do not list are admitted.
+/// A load-shedding level in force. Classes and plans missing from its tables are admitted without restriction.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SheddingLevel {
-    /// What is admitted, by class and plan.
+    /// Admission by class and plan.
     pub admission: Vec<Vec<Admission>>,
-    /// What is admitted of the work that only one zone can serve, where that is less.
+    /// Additional restrictions on requests that can be served in one zone only.
     pub zone_admission: Vec<ZoneAdmission>,
-    /// When the level could end at the earliest.
+    /// The earliest time at which the level may end.
     pub ends_at: f64,
 }
 
 impl SheddingLevel {
-    /// What is admitted of a class on a plan at a node of a zone: the strictest that applies.
+    /// Returns the admission of a class and plan at a node in `zone`: the strictest of the tables that apply.
     pub fn admission(&self, class: ClassId, plan: PlanId, zone: Option<ZoneId>) -> Admission {
         let mut strictest = table_entry(&self.admission, class, plan);
-        for of_zone in &self.zone_admission {
-            if Some(of_zone.zone) == zone {
-                strictest = strictest.max(table_entry(&of_zone.admission, class, plan));
+        for zone_table in &self.zone_admission {
+            if Some(zone_table.zone) == zone {
+                strictest = strictest.max(table_entry(&zone_table.admission, class, plan));
             }
         }
         strictest
     }
 
-    /// Whether a zone's nodes get trial requests only.
+    /// Returns whether the level admits only trial requests to nodes in `zone`.
     pub fn excludes_zone(&self, zone: Option<ZoneId>) -> bool {
         let trials_only = |table: &[Vec<Admission>]| all_entries(table, Admission::TrialOnly);
         let mut zones = self.zone_admission.iter();
-        zones.any(|of_zone| Some(of_zone.zone) == zone && trials_only(&of_zone.admission))
+        zones.any(|zone_table| Some(zone_table.zone) == zone && trials_only(&zone_table.admission))
     }
 
-    /// Whether it sheds anything.
+    /// Returns whether the level restricts any class or plan.
     pub fn is_shedding(&self) -> bool {
         let admits_all = |table: &[Vec<Admission>]| all_entries(table, Admission::All);
         let mut zones = self.zone_admission.iter();
-        !admits_all(&self.admission) || !zones.all(|of_zone| admits_all(&of_zone.admission))
+        !admits_all(&self.admission) || !zones.all(|zone_table| admits_all(&zone_table.admission))
     }
 }
 
@@ -106,12 +107,12 @@
     table.iter().flatten().all(|entry| *entry == admission)
 }
 
-/// How requests that were inside their volume's reserve at arrival have ended, since the scheduler's start.
+/// Statistics, since the start of the scheduler, on requests that were inside their volume's reserve at arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReservedWorkStats {
-    /// Served within the latency objective of their class.
+    /// Number of requests served within the latency objective of their class.
     pub met_objective: u64,
-    /// Ended in any way.
+    /// Number of requests that have ended, whether served or not.
     pub completed: u64,
     /// Sum of the seconds from arrival to end.
     pub total_delay_s: f64,
@@ -126,137 +127,138 @@
     }
 }
 
-/// A request at its arrival.
+/// A request as it arrives.
 #[derive(Clone, Debug)]
 pub struct IoRequest {
-    /// Its id.
+    /// Identifies the request in events and actions.
     pub id: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its volume's plan.
+    /// The plan of the request's volume.
     pub plan: PlanId,
-    /// Its volume.
+    /// The volume that the request belongs to.
     pub volume: VolumeId,
-    /// The data it is about, if it names any.
+    /// The extent that the request reads or writes, if it names one.
     pub extent: Option<ExtentId>,
-    /// The shard with the data; `None` for a new object, which may be placed on any node.
+    /// The shard that holds the data; `None` for a new object, which may be placed on any node.
     pub shard: Option<ShardId>,
-    /// Seconds until the client gives up.
+    /// Seconds until the client stops waiting.
     pub remaining_s: f64,
-    /// Its size, in units.
+    /// Size of the request, in units.
     pub units: f64,
-    /// Number of heads that the volume's requests come through.
+    /// Number of heads that receive requests of the volume.
     pub heads: u32,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
 }
 
-/// What a scheduler is notified of.
+/// An event that the scheduler is notified of.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list changed, or a poll for it failed.
     EndpointUpdate {
-        /// What the entries are.
+        /// How `endpoints` relate to the list.
         kind: UpdateKind,
-        /// The entries.
+        /// Entries of the update.
         endpoints: Vec<Endpoint>,
     },
     /// A client's request arrived.
     RequestArrived(IoRequest),
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which of its attempts, counted from 0.
+        /// Index of the attempt among the request's attempts, from 0.
         attempt: usize,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// Seconds since it was sent.
+        /// Seconds since the attempt was sent.
         elapsed_s: f64,
-        /// Whether the request is complete; if not, an answer is still owed.
+        /// Whether the request is complete. If not, the scheduler must still answer the client.
         request_done: bool,
-        /// Whether the request can't be sent again, since its data are no longer in memory.
+        /// Whether the request can't be sent again because its body is no longer in memory.
         not_resendable: bool,
-        /// What the volume was served over all heads in a finished period, in multiples of its base rate.
+        /// The volume's usage over all heads in a completed period, in multiples of its base rate.
         usage: Option<f64>,
-        /// Units that this shard served the volume through other heads since it last reported to this one.
+        /// Units that the shard served the volume through other heads since its previous report to this head.
         usage_elsewhere: f64,
-        /// The node's load report, if one came.
+        /// The node's load report; empty if the answer carried none.
         load_report: LoadReport,
     },
-    /// A streamed body began to pass through, in either direction: no deadline runs from here on.
+    /// Streaming of a request or response body began. The request has no deadline from here on.
     StreamingStarted {
-        /// The request.
+        /// The request whose body is streamed.
         request: RequestId,
     },
-    /// The client disconnected; no answer is owed any more.
+    /// The client disconnected and no longer needs an answer.
     ClientDisconnected {
-        /// The request.
+        /// The request of that client.
         request: RequestId,
     },
     /// A health check ended.
     HealthChecked {
-        /// The node.
+        /// The node that was checked.
         node: NodeId,
-        /// Whether it answered.
+        /// Whether the node answered.
         healthy: bool,
-        /// Its load report, if one came.
+        /// The node's load report; empty if the answer carried none.
         load_report: LoadReport,
     },
-    /// A wake-up that was asked for is due.
+    /// The time of a requested wake-up has come.
     WakeUp,
-    /// Another process of this head has started or ended: this one spends only a fraction of the head's capacity.
+    /// Another process of this head started or ended, which changes the fraction of the head's capacity that this
+    /// process may use.
     ProcessShareChanged {
-        /// The fraction, up to 1.
+        /// The new fraction, at most 1.
         fraction: f64,
     },
-    /// A load-shedding level is in force from now on, in place of the one before.
+    /// A load-shedding level came into force and replaces the previous one.
     SheddingLevelChanged(SheddingLevel),
 }
 
-/// What a scheduler asks its caller to do.
+/// An action that the scheduler requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the next attempt of a request.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The node to send it to.
+        /// The node to send the request to.
         node: NodeId,
-        /// When to abandon the attempt.
+        /// The time at which the attempt times out.
         expires_at: f64,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which of its attempts, counted from 0.
+        /// Index of the attempt among the request's attempts, from 0.
         attempt: usize,
     },
-    /// Final answer: rejected without effect; the client may safely send it again.
+    /// Answer the client that the request was rejected. The request had no effect, or repeating it is harmless.
     Reject {
-        /// The request.
+        /// The request to reject.
         request: RequestId,
-        /// Seconds that the client should wait before it does; 0 for no advice.
+        /// Seconds that the client should wait before a retry; 0 to omit this advice.
         retry_after_s: f64,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Answer the client that the request failed. The request may have taken effect.
     Fail {
-        /// The request.
+        /// The request that failed.
         request: RequestId,
     },
     /// Check a node's health.
     CheckHealth {
-        /// The node.
+        /// The node to check.
         node: NodeId,
     },
     /// Poll the endpoint list for changes.
     PollEndpoints,
-    /// Send [`Event::WakeUp`].
+    /// Deliver [`Event::WakeUp`] after a delay.
     WakeUp {
-        /// Seconds from now.
+        /// The delay, in seconds.
         delay_s: f64,
     },
-    /// Write a log line for the operators.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/scheduler/load_shedding.rs
+++ b/src/scheduler/load_shedding.rs
@@ -1,4 +1,5 @@
-//! Load shedding: while a shedding level is in force, queued work that it does not admit is rejected at once.
+//! Load shedding: while a shedding level is in force, queued requests that the level does not admit are rejected
+//! immediately.
 
 use super::Scheduler;
 use super::interface::{Action, Admission, IoRequest, PlanId, RequestId, ShardId, SheddingLevel, VolumeId};
@@ -6,51 +7,52 @@
 use super::settings::{Plan, SchedulerSettings};
 use std::collections::BTreeMap;
 
-/// Least plan weight that is divided by.
+/// Lower bound of a plan's weight, since volumes are charged by units divided by the weight.
 const MIN_PLAN_WEIGHT: f64 = 0.01;
-/// Least latency by which a node's rate is estimated, in seconds.
+/// Minimum latency assumed in estimates of a node's rate, in seconds.
 const MIN_LATENCY_S: f64 = 1e-3;
 
-/// The shedding level in force, and how many requests it has cost.
+/// The shedding level in force and the number of requests rejected by it.
 pub(super) struct LoadShedding {
     level: SheddingLevel,
-    /// Since when the zones have had their tables.
-    zones_since: f64,
+    /// The time since which the level's zone tables have been unchanged.
+    zone_tables_since: f64,
     shed_requests: u64,
     tightest_objective_s: f64,
 }
 
 impl LoadShedding {
-    /// No level in force.
+    /// Creates the state without a shedding level.
     pub(super) fn new(tightest_objective_s: f64, now: f64) -> LoadShedding {
         LoadShedding {
             level: SheddingLevel::default(),
-            zones_since: now,
+            zone_tables_since: now,
             shed_requests: 0,
             tightest_objective_s,
         }
     }
 
-    /// Puts a level in force.
+    /// Puts a level into force.
     pub(super) fn set_level(&mut self, level: &SheddingLevel, now: f64) {
         if level.zone_admission != self.level.zone_admission {
-            self.zones_since = now;
+            self.zone_tables_since = now;
         }
         self.level = level.clone();
     }
 
-    /// The level in force.
+    /// Returns the level in force.
     pub(super) fn level(&self) -> &SheddingLevel {
         &self.level
     }
 
-    /// How many requests were shed since the start.
+    /// Returns the number of requests rejected by load shedding since the start.
     pub(super) fn shed_requests(&self) -> u64 {
         self.shed_requests
     }
 
-    /// What the level admits of a request's kind at a node queue. Where only trials are admitted, one that the node
-    /// has answered, and answers still, admits what is within quota again.
+    /// Returns what the level admits of requests like `request` at a node queue. Where the level admits only trials,
+    /// requests within quota are admitted again at a node that has answered since the zone tables last changed and is
+    /// neither failing nor stalled.
     pub(super) fn admission(&self, request: &IoRequest, queue: &NodeQueue, now: f64) -> Admission {
         let admission = self.level.admission(request.class, request.plan, queue.serving_node.zone());
         if admission == Admission::TrialOnly && self.has_recovered(queue, now) {
@@ -62,33 +64,33 @@
     fn has_recovered(&self, queue: &NodeQueue, now: f64) -> bool {
         let is_stalled =
             queue.in_flight.first().is_some_and(|oldest| now - oldest.sent_at > self.tightest_objective_s);
-        let has_answered = queue.latency.last_answer_at() >= self.zones_since;
+        let has_answered = queue.latency.last_answer_at() >= self.zone_tables_since;
         has_answered && !queue.backoff.is_failing() && !is_stalled
     }
 }
 
-/// The weight of a plan in what is left past the reserves.
+/// Returns the weight of a plan in the sharing of the capacity beyond the reserves.
 pub(super) fn plan_weight(settings: &SchedulerSettings, plan: PlanId) -> f64 {
     settings.plans.get(plan.0).map_or(1.0, |plan: &Plan| plan.weight.max(MIN_PLAN_WEIGHT))
 }
 
-/// The weights of the volumes with queued requests, by shard.
+/// Weights of the volumes with queued requests, by shard.
 struct QueuedVolumeWeights(BTreeMap<ShardId, BTreeMap<VolumeId, f64>>);
 
 impl QueuedVolumeWeights {
-    /// A volume's fraction of a shard's capacity.
+    /// Returns the volume's fraction of a shard's capacity.
     fn fraction(&self, shard: ShardId, volume: VolumeId) -> f64 {
         let weights = &self.0[&shard];
         weights[&volume] / weights.values().sum::<f64>()
     }
 }
 
-/// Units of the requests that were admitted before the one at hand.
+/// Units of the requests admitted so far in one pass over the queued requests.
 #[derive(Default)]
 struct AdmittedUnits {
-    /// Inside the reserve, by volume.
+    /// Units within the reserve, by volume.
     reserved: BTreeMap<VolumeId, f64>,
-    /// Inside the quota, by shard and volume.
+    /// Units within the quota, by shard and volume.
     within_quota: BTreeMap<ShardId, BTreeMap<VolumeId, f64>>,
 }
 
@@ -103,8 +105,9 @@
 }
 
 impl Scheduler {
-    /// Rejects the queued requests that the level in force does not admit: of each volume, in order of arrival, what
-    /// neither its reserve nor, where quotas are admitted, its fraction of the node's rate will serve in time.
+    /// Rejects the queued requests that the level in force does not admit. Requests of a volume are considered in
+    /// order of arrival. A request is rejected if neither the volume's reserve nor, where quotas are admitted, the
+    /// volume's fraction of the node's rate can serve it within its latency objective.
     pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
         if !self.load_shedding.level.is_shedding() {
             return;
@@ -170,7 +173,8 @@
         is_admitted
     }
 
-    /// Units a second that the concurrency window lets this head send a node, by Little's law.
+    /// Returns the rate at which the concurrency window lets this head send to a node, in units per second (Little's
+    /// law).
     fn window_rate(&self, queue: &NodeQueue) -> f64 {
         let latency_s = queue.latency.recent_s().max(MIN_LATENCY_S);
         queue.window.exact_limit() * self.settings.mean_request_units / latency_s
--- a/src/scheduler/memory_tests.rs
+++ b/src/scheduler/memory_tests.rs
@@ -1,15 +1,15 @@
-//! Memory: what is out of use is forgotten.
+//! Tests that unused state is removed from memory.
 
 use super::{AttemptOutcome, IoRequest, Scheduler, VolumeId, common};
 
-/// Volumes with a tag in a node's fair queue, over all nodes.
+/// Returns the number of volumes with a finish tag, summed over all node queues.
 fn tagged_volumes(scheduler: &Scheduler) -> usize {
     scheduler.node_queues.iter().map(|queue| queue.fair_queue.tagged_volumes()).sum()
 }
 
-/// Guards against memory that grows with all volumes and extents ever seen.
+/// Guards against memory that grows with the number of volumes and extents ever used.
 #[test]
-fn what_is_out_of_use_is_forgotten() {
+fn unused_state_is_removed() {
     let mut settings = common::settings();
     settings.classes[0].ordered = true;
     let mut harness = common::Harness::new(settings);
@@ -28,9 +28,9 @@
     assert_eq!((harness.scheduler.volume_quotas.len(), other_entries(&harness.scheduler)), (0, 0));
 }
 
-/// Guards against tags of shared work that pile up in a node queue: those that virtual time has passed are forgotten.
+/// Guards against volume tags that accumulate in a node's fair queue. Tags below the virtual time are removed.
 #[test]
-fn tags_that_virtual_time_has_passed_are_forgotten() {
+fn volume_tags_below_the_virtual_time_are_removed() {
     let mut settings = common::settings();
     settings.plans[0].reserve = 0.0;
     settings.max_request_units = 0.0;
@@ -42,7 +42,7 @@
         harness.advance(0.02);
         harness.end_attempt(id, 0, AttemptOutcome::Ok, 0.02);
     }
-    // A few volumes' retries requests move virtual time on.
+    // Requests of two of the volumes advance the virtual time.
     for id in 50..80 {
         let request =
             IoRequest { volume: VolumeId(u64::from(id % 2)), ..common::request(id, common::IDEMPOTENT) };
@@ -52,5 +52,9 @@
     }
     assert!(tagged_volumes(&harness.scheduler) >= 1);
     harness.advance(0.6);
-    assert!(tagged_volumes(&harness.scheduler) <= 2, "{} of 50", tagged_volumes(&harness.scheduler));
+    assert!(
+        tagged_volumes(&harness.scheduler) <= 2,
+        "{} of 50 volumes have a tag",
+        tagged_volumes(&harness.scheduler)
+    );
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,13 +1,13 @@
-//! The decision module: every decision of the gateway about requests and their attempts.
+//! The decision module: decides when and where the gateway sends requests, and how their attempts end.
 //!
-//! It has no clock, files or sockets of its own. [`Scheduler::handle`] takes in what happened ([`Event`]) and returns
-//! what to do about it ([`Action`]); times are arguments, and random numbers come from a seed, so the same events give
-//! the same actions.
+//! The module has no clock, files or sockets of its own. [`Scheduler::handle`] takes the events ([`Event`]) since its
+//! last call and returns the actions ([`Action`]) to take. Times are arguments and random numbers come from a seeded
+//! generator, so the same events give the same actions.
 //!
-//! A request's path: `arrivals` -> node queue (`node_queues`, `node_queue`) -> `dispatch`, by `evaluation` -> an
-//! attempt -> `attempt_results` -> `completion`. The mechanism (`docs/design.md`) is the fair queue (`fair_queue`),
-//! the adapted weights (`class_weights`) and the concurrency window (`concurrency_window`); the other parts guard
-//! what these do not cover.
+//! Path of a request: `arrivals` -> node queue (`node_queues`, `node_queue`) -> `dispatch`, which selects by
+//! `evaluation` -> attempt -> `attempt_results` -> `completion`. The central mechanisms (`docs/design.md`) are the
+//! fair queue (`fair_queue`), the adapted weights (`class_weights`) and the concurrency window (`concurrency_window`).
+//! The other submodules handle cases that these do not cover.
 
 mod arrivals;
 mod attempt_results;
@@ -62,10 +62,10 @@
 use timers::Timers;
 use volume_quotas::VolumeQuotas;
 
-/// The scheduler of one head. Each field owns one concern; the scheduler calls them in order.
+/// The scheduler of one head. Each component handles one concern; the scheduler calls the components in order.
 pub struct Scheduler {
     settings: SchedulerSettings,
-    /// The lowest latency objective of all classes.
+    /// The lowest latency objective of all classes, in seconds.
     tightest_objective_s: f64,
     now: f64,
     random: RandomNumbers,
@@ -84,11 +84,11 @@
 }
 
 impl Scheduler {
-    /// A scheduler that knows no node and no request yet. `seed` determines its random numbers.
+    /// Creates a scheduler without nodes and requests. `seed` initialises its random number generator.
     ///
     /// # Errors
     ///
-    /// The settings can't be worked with.
+    /// Returns an error if a value in `settings` is invalid.
     pub fn new(
         settings: SchedulerSettings,
         seed: u64,
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Takes in all that happened by `now`, then decides what to do about it.
+    /// Processes the events up to `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: f64, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
         for event in events {
@@ -136,12 +136,12 @@
         self.request_wake_up(actions);
     }
 
-    /// How reserved work has ended, by the zone of its node and its class.
+    /// Returns the statistics on reserved work, by the zone of the node and the request class.
     pub fn reserved_work_stats(&self) -> &BTreeMap<(Option<ZoneId>, ClassId), ReservedWorkStats> {
         &self.reserved_work
     }
 
-    /// How many requests a shedding level has cost since the start.
+    /// Returns the number of requests rejected by load shedding since the start.
     pub fn shed_requests(&self) -> u64 {
         self.load_shedding.shed_requests()
     }
@@ -173,7 +173,7 @@
                 self.complete(*request);
             }
             Event::HealthChecked { .. } => {}
-            Event::WakeUp => self.timers.woke_up(),
+            Event::WakeUp => self.timers.record_wake_up(),
             Event::SheddingLevelChanged(level) => self.load_shedding.set_level(level, self.now),
             Event::ProcessShareChanged { fraction } => {
                 self.volume_quotas.set_process_share(*fraction, self.now);
@@ -185,19 +185,19 @@
     fn handle_endpoint_update(&mut self, kind: UpdateKind, endpoints: &[Endpoint]) {
         self.polling.record_update(kind, self.now, &mut self.random);
         self.node_queues.apply_update(kind, endpoints, self.now);
-        self.replace_requests_without_node();
+        self.reassign_new_objects();
     }
 
-    /// A sampling tick: forgets what is out of use, and adapts the class weights when that is due.
+    /// Handles a sampling tick: removes unused state and, if due, adapts the class weights.
     fn handle_sampling_tick(&mut self) {
-        self.volume_quotas.forget_idle(self.now);
-        self.extent_order.forget_idle(self.now);
-        self.retry_budget.forget_expired(self.now);
-        self.node_queues.forget_idle_volumes();
+        self.volume_quotas.remove_idle(self.now);
+        self.extent_order.remove_idle(self.now);
+        self.retry_budget.remove_expired(self.now);
+        self.node_queues.remove_idle_volumes();
         self.class_weights.end_tick();
     }
 
-    /// Asks for one wake-up at the earliest moment at which something falls due.
+    /// Requests a wake-up for the earliest time at which a timer or deadline expires.
     fn request_wake_up(&mut self, actions: &mut Vec<Action>) {
         let expiry_at = self.requests.next_deadline_at() - self.answer_margin_s();
         let other_due_at = expiry_at.min(self.polling.next_poll_at());
--- a/src/scheduler/node_backoff.rs
+++ b/src/scheduler/node_backoff.rs
@@ -1,13 +1,13 @@
-//! Backoff of a node that rejected a request, could not be reached or broke a connection.
+//! Backoff for a node that rejected a request, was unreachable or broke a connection.
 
-/// Length of the first pause, in seconds; each further failure doubles it.
+/// Length of the first pause, in seconds. Each further failure doubles the pause.
 const FIRST_PAUSE_S: f64 = 0.05;
-/// Length of the longest pause, in seconds.
+/// Maximum length of a pause, in seconds.
 pub(super) const LONGEST_PAUSE_S: f64 = 1.0;
-/// Failures after which the pause is not doubled any more; it is past the longest by then.
+/// Maximum number of doublings. The pause exceeds `LONGEST_PAUSE_S` by then.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// The failures of one node since its last answer.
+/// Failures of one node since its last answer.
 #[derive(Default)]
 pub(super) struct NodeBackoff {
     failures: u32,
@@ -15,29 +15,29 @@
 }
 
 impl NodeBackoff {
-    /// Starts a pause, twice as long as the one before.
+    /// Starts a pause, twice as long as the previous one.
     pub(super) fn record_failure(&mut self, now: f64) {
         let doubled = FIRST_PAUSE_S * f64::from(1 << self.failures.min(MAX_DOUBLINGS));
         self.ends_at = now + doubled.min(LONGEST_PAUSE_S);
         self.failures += 1;
     }
 
-    /// Forgets the failures. A pause that runs still ends at its time.
+    /// Resets the failure count. A pause that has begun still runs to its end.
     pub(super) fn record_answer(&mut self) {
         self.failures = 0;
     }
 
-    /// Whether the node failed and has not answered since.
+    /// Returns whether the node failed and has not answered since.
     pub(super) fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// When the pause ends.
+    /// Returns the end of the pause.
     pub(super) fn ends_at(&self) -> f64 {
         self.ends_at
     }
 
-    /// Whether no pause runs.
+    /// Returns whether no pause is running.
     pub(super) fn is_over(&self, now: f64) -> bool {
         now >= self.ends_at
     }
--- a/src/scheduler/node_latency.rs
+++ b/src/scheduler/node_latency.rs
@@ -1,13 +1,14 @@
-//! The latency of one node, as this head's answers show it.
+//! Latency of one node, measured by the answers to this head.
 
 use super::fleet_latency::FleetLatency;
 
 /// Weight of a new answer in a class's running mean.
 const CLASS_WEIGHT: f64 = 0.1;
-/// Weight of a new answer in the node's recent latency, which has to follow a node that slows down.
+/// Weight of a new answer in the node's recent latency. It is higher than `CLASS_WEIGHT` so that the recent latency
+/// follows a node that slows down.
 const RECENT_WEIGHT: f64 = 0.2;
 
-/// Running means over one node's answers.
+/// Running means over the answers of one node.
 pub(super) struct NodeLatency {
     recent_s: f64,
     last_answer_at: f64,
@@ -15,7 +16,7 @@
 }
 
 impl NodeLatency {
-    /// No answers yet.
+    /// Creates means without answers.
     pub(super) fn new(classes: usize) -> NodeLatency {
         NodeLatency { recent_s: 0.0, last_answer_at: 0.0, class_means_s: vec![0.0; classes] }
     }
@@ -27,25 +28,25 @@
         self.recent_s += RECENT_WEIGHT * (elapsed_s - self.recent_s);
     }
 
-    /// The mean over all classes' recent answers, in seconds.
+    /// Returns the mean latency of recent answers over all classes, in seconds.
     pub(super) fn recent_s(&self) -> f64 {
         self.recent_s
     }
 
-    /// The mean of a class, in seconds; 0 before its first answer.
+    /// Returns the mean latency of a class, in seconds; 0 before the first answer.
     pub(super) fn class_mean_s(&self, class: usize) -> f64 {
         self.class_means_s[class]
     }
 
-    /// When the node last answered; 0 if it never did.
+    /// Returns the time of the node's last answer; 0 if the node never answered.
     pub(super) fn last_answer_at(&self) -> f64 {
         self.last_answer_at
     }
 
-    /// The node's latency as it is likely to be now: recent answers, which lose significance with their age in
-    /// favour of the fleet's mean.
+    /// Returns the estimated current latency of the node, in seconds. The weight of the node's own recent answers
+    /// decays with their age in favour of the fleet's mean.
     pub(super) fn estimate(&self, now: f64, fleet: FleetLatency) -> f64 {
         let fleet_mean_s = fleet.mean_at(now);
-        fleet_mean_s + (self.recent_s - fleet_mean_s) * fleet.remaining(self.last_answer_at, now)
+        fleet_mean_s + (self.recent_s - fleet_mean_s) * fleet.decay(self.last_answer_at, now)
     }
 }
--- a/src/scheduler/node_queue.rs
+++ b/src/scheduler/node_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one shard's work before the node that serves the shard, and what this head knows of that node.
+//! Queue of one shard's requests for the node that serves the shard, and this head's state of that node.
 
 use super::concurrency_window::ConcurrencyWindow;
 use super::fair_queue::FairQueue;
@@ -9,48 +9,49 @@
 use flaxgap_shard_table::ServingNode;
 use flaxgap_slow_start::{AnswerSpeed, SlowStart};
 
-/// Later attempts that were answered before one that is taken for passed over.
-const PASSED_OVER_ANSWERS: u32 = 4;
-/// Fraction of the tightest latency objective up to which an answer is fast, and past which it is under pressure.
+/// Number of later attempts that have to be answered first for an attempt to count as overtaken.
+const OVERTAKEN_ANSWERS: u32 = 4;
+/// Fraction of the tightest latency objective below which an answer counts as fast and above which a node counts as
+/// under pressure.
 pub(super) const PRESSURE_FRACTION: f64 = 0.35;
 
-/// An attempt that is in flight.
+/// An attempt in flight.
 pub(super) struct InFlight {
     pub(super) sent_at: f64,
     pub(super) request: RequestId,
-    /// How many attempts that were sent later were answered before it.
+    /// Number of attempts that were sent after this one and have already been answered.
     later_answers: u32,
 }
 
 impl InFlight {
-    /// Whether the node has answered so many later attempts that this one is probably lost.
-    pub(super) fn is_passed_over(&self) -> bool {
-        self.later_answers >= PASSED_OVER_ANSWERS
+    /// Returns whether the node has answered so many later attempts that this one is probably lost.
+    pub(super) fn is_overtaken(&self) -> bool {
+        self.later_answers >= OVERTAKEN_ANSWERS
     }
 }
 
-/// A request's place in a node queue.
+/// Position of a request in a node queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueuePosition {
     pub(super) class: usize,
     pub(super) index: usize,
 }
 
-/// An answer of a node.
+/// An answer from a node.
 pub(super) struct NodeAnswer {
     pub(super) class: usize,
     pub(super) units: f64,
-    /// Units that the node served beyond the reserves; those inside were counted when they arrived.
+    /// Units served beyond the reserves. Units within the reserves were counted on arrival.
     pub(super) unreserved_units: f64,
     pub(super) sent_at: f64,
     pub(super) elapsed_s: f64,
 }
 
-/// The queued requests of a shard, by class, and the state of the node that serves it.
+/// The queued requests of a shard, by class, and the state of the node that serves the shard.
 pub(super) struct NodeQueue {
     pub(super) serving_node: ServingNode,
     pub(super) queued_by_class: Vec<Vec<RequestId>>,
-    /// In the order in which they were sent.
+    /// Attempts in flight, in the order in which they were sent.
     pub(super) in_flight: Vec<InFlight>,
     pub(super) fair_queue: FairQueue,
     pub(super) window: ConcurrencyWindow,
@@ -60,8 +61,8 @@
 }
 
 impl NodeQueue {
-    /// The queue of a shard at its first use, as if made when the shard was first listed: until now this head had
-    /// no work for it.
+    /// Creates the queue of a shard at its first use. Slow start is set up as if the queue had existed since the shard
+    /// was first listed, since this head had no work for the shard until now.
     pub(super) fn new(classes: usize, warm_up_s: f64, serving_node: ServingNode) -> NodeQueue {
         let mut slow_start = SlowStart::new(warm_up_s, serving_node.shard_known_at);
         slow_start.record_node_start(serving_node.changed_at);
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Takes in which node serves the shard. The queued requests stay; a node that took over, or the same one after
-    /// a restart, is learnt anew.
+    /// Sets the node that serves the shard. Queued requests are kept. If another node took over or the same node
+    /// restarted, the state of the node is reset.
     pub(super) fn set_serving_node(&mut self, serving_node: &ServingNode) {
         if serving_node.epoch != self.serving_node.epoch {
             let classes = self.queued_by_class.len();
@@ -92,22 +93,23 @@
         self.serving_node = serving_node.clone();
     }
 
-    /// Whether a request is queued.
+    /// Returns whether any request is queued.
     pub(super) fn has_queued(&self) -> bool {
         self.queued_by_class.iter().any(|requests| !requests.is_empty())
     }
 
-    /// How many requests are queued.
+    /// Returns the number of queued requests.
     pub(super) fn queued_count(&self) -> usize {
         self.queued_by_class.iter().map(Vec::len).sum()
     }
 
-    /// The request at a place of the queue.
+    /// Returns the request at a position of the queue.
     pub(super) fn queued_at(&self, position: QueuePosition) -> Option<RequestId> {
         self.queued_by_class[position.class].get(position.index).copied()
     }
 
-    /// Whether one more request may go to the node. After a failure one at a time may, as a trial.
+    /// Returns whether one more request may be sent to the node. After a failure, one request at a time may be sent,
+    /// as a trial.
     pub(super) fn can_send(&self, now: f64) -> bool {
         let concurrency_limit = if self.backoff.is_failing() { 1 } else { self.window.limit() };
         self.serving_node.endpoint.is_some()
@@ -115,16 +117,16 @@
             && self.backoff.is_over(now)
     }
 
-    /// The node's latency as it is likely to be now. An attempt that has been in flight for longer counts: the node
-    /// has stopped or is slow.
+    /// Returns the estimated current latency of the node. If the oldest attempt has been in flight for longer than the
+    /// estimate, its age is used instead, since the node has stopped or become slow.
     pub(super) fn estimated_latency_s(&self, now: f64, fleet: FleetLatency) -> f64 {
         let estimate_s = self.latency.estimate(now, fleet);
         self.in_flight.first().map_or(estimate_s, |oldest| estimate_s.max(now - oldest.sent_at))
     }
 
-    /// Whether an attempt in flight was passed over.
-    pub(super) fn has_passed_over(&self) -> bool {
-        self.in_flight.iter().any(InFlight::is_passed_over)
+    /// Returns whether an attempt in flight was overtaken.
+    pub(super) fn has_overtaken_attempt(&self) -> bool {
+        self.in_flight.iter().any(InFlight::is_overtaken)
     }
 
     /// Records an attempt that was sent to the node.
@@ -134,12 +136,12 @@
         self.window.record_sent(self.in_flight.len());
     }
 
-    /// Frees the place of a request's attempt in the window.
+    /// Removes a request from those in flight, which frees its place in the concurrency window.
     pub(super) fn remove_in_flight(&mut self, request: RequestId) {
         self.in_flight.retain(|attempt| attempt.request != request);
     }
 
-    /// Records an answer of the node.
+    /// Records an answer from the node.
     pub(super) fn record_answer(&mut self, answer: &NodeAnswer, tightest_objective_s: f64, now: f64) {
         self.backoff.record_answer();
         for attempt in &mut self.in_flight {
@@ -168,7 +170,7 @@
     }
 }
 
-/// How an answer's latency, in multiples of the tightest objective, counts for slow start.
+/// Classifies an answer for slow start by its latency, in multiples of the tightest objective.
 fn answer_speed(latency_ratio: f64) -> AnswerSpeed {
     if latency_ratio < PRESSURE_FRACTION {
         AnswerSpeed::Fast
--- a/src/scheduler/pending_requests.rs
+++ b/src/scheduler/pending_requests.rs
@@ -1,53 +1,53 @@
-//! The requests that this head has taken in and not forgotten, and their deadlines.
+//! The pending requests of this head and their deadlines.
 
 use super::interface::{ExtentId, IoRequest, RequestId, ShardId};
 use flaxgap_attempts::Attempts;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// Whether a request is in a node queue, has left it, or is complete.
+/// Progress of a request through the node queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueueState {
     /// In a node queue.
     Queued,
-    /// Out of the node queue: an attempt is in flight, or its end is being handled.
+    /// Removed from the node queue: an attempt is in flight, or the end of an attempt is being handled.
     Dispatched,
-    /// Answered, or its client is gone; remembered while an attempt is in flight.
+    /// Answered, or the client has disconnected. Kept while an attempt is in flight.
     Completed,
 }
 
-/// A request, from its arrival until it is complete and its last attempt has ended.
+/// A request from its arrival until it is complete and its last attempt has ended.
 pub(super) struct PendingRequest {
     pub(super) request: IoRequest,
     pub(super) arrived_at: f64,
-    /// When its latency objective is missed.
+    /// The time after which the request misses its latency objective.
     pub(super) objective_at: f64,
     pub(super) deadline_at: f64,
-    /// Whether it was inside its volume's reserve at arrival.
+    /// Whether the request was inside its volume's reserve at arrival.
     pub(super) is_reserved: bool,
-    /// The extent within which it is kept in order, if its class is ordered.
+    /// The extent whose order the request has to keep, if its class is ordered.
     pub(super) ordered_extent: Option<ExtentId>,
-    /// The shard in whose node queue it is or was.
+    /// The shard in whose node queue the request is or was.
     pub(super) shard: ShardId,
     pub(super) state: QueueState,
-    /// Its random sample in [0, 1), by which heads that know nothing of each other share a node.
+    /// Random sample in [0, 1). Heads that share a node without communicating use it to decide which requests to send.
     pub(super) sample: f64,
     pub(super) attempts: Attempts,
 }
 
 impl PendingRequest {
-    /// Whether it was answered or its client is gone.
+    /// Returns whether the request was answered or its client has disconnected.
     pub(super) fn is_completed(&self) -> bool {
         self.state == QueueState::Completed
     }
 
-    /// Whether it was sent before.
+    /// Returns whether the request was sent before.
     pub(super) fn is_retry(&self) -> bool {
         !self.attempts.is_empty()
     }
 }
 
-/// A deadline in the order of time. The bits of a float that is not negative are ordered as the float is.
+/// A deadline, ordered by time. The bit patterns of non-negative floats have the same order as the floats.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at_bits: u64,
@@ -64,7 +64,7 @@
     }
 }
 
-/// All pending requests.
+/// The table of pending requests, and the deadlines that have not been stopped.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -72,34 +72,34 @@
 }
 
 impl PendingRequests {
-    /// How many there are.
+    /// Returns the number of requests.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a request is known.
+    /// Returns whether the table contains a request.
     pub(super) fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// A request, if it is known.
+    /// Returns a request, if the table contains it.
     pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// The same, to change it.
+    /// Returns a mutable reference to a request, if the table contains it.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Adds a request; its deadline runs.
+    /// Adds a request and starts its deadline.
     pub(super) fn insert(&mut self, pending: PendingRequest) {
         let id = pending.request.id;
         self.deadlines.insert(Deadline::new(pending.deadline_at, id));
         self.requests.insert(id, pending);
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub(super) fn remove(&mut self, id: RequestId) {
         self.requests.remove(&id);
     }
@@ -111,13 +111,13 @@
         }
     }
 
-    /// The earliest deadline that runs; infinity for none.
+    /// Returns the earliest deadline; infinity if there is none.
     pub(super) fn next_deadline_at(&self) -> f64 {
         self.deadlines.first().map_or(f64::INFINITY, Deadline::at)
     }
 
-    /// The requests to be answered by now: those past their deadline, and those without an attempt in flight whose
-    /// deadline is at `last_moment` or before. In the order of their deadlines.
+    /// Returns the requests to be answered now, in the order of their deadlines: the requests past their deadline, and
+    /// those without an attempt in flight whose deadline is not after `last_moment`.
     pub(super) fn overdue(&self, now: f64, last_moment: f64) -> Vec<RequestId> {
         let end = Deadline::new(last_moment.max(0.0), RequestId(u32::MAX));
         let mut overdue = Vec::new();
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,5 +1,5 @@
-//! Placement of new objects, which any node may hold: the better of two nodes at random. The single best node would be
-//! chosen by all heads at once.
+//! Placement of new objects, which any node may hold: the better of two nodes picked at random. The single best node
+//! would be chosen by all heads at the same time.
 
 use super::Scheduler;
 use super::interface::{RequestId, ShardId};
@@ -7,13 +7,13 @@
 
 /// Factor on the expected wait at a node that is warming up.
 const WARMING_UP_FACTOR: f64 = 4.0;
-/// Factor on the expected wait at a node that fails, or whose zone gets trial requests only.
+/// Factor on the expected wait at a failing node, or at a node in a zone that gets trial requests only.
 const UNAVAILABLE_FACTOR: f64 = 100.0;
-/// Least latency that a wait is estimated by, in seconds.
+/// Minimum latency assumed in estimates of the wait, in seconds.
 const MIN_LATENCY_S: f64 = 1e-3;
 
 impl Scheduler {
-    /// The shard for a new object.
+    /// Chooses the shard for a new object.
     pub(super) fn place_new_object(&mut self) -> ShardId {
         if !self.node_queues.has_served_shard() {
             return self.node_queues.first_shard().unwrap_or(ShardId(0));
@@ -25,8 +25,8 @@
         if self.expected_wait_at(second) < self.expected_wait_at(first) { second } else { first }
     }
 
-    /// Places the new objects that are queued before nodes that are gone at other nodes.
-    pub(super) fn replace_requests_without_node(&mut self) {
+    /// Moves the queued new objects whose shard has no serving node to other shards.
+    pub(super) fn reassign_new_objects(&mut self) {
         let without_node: Vec<RequestId> = self
             .node_queues
             .requests_without_node()
@@ -46,7 +46,8 @@
         }
     }
 
-    /// A figure in the order of the seconds that a new request would take at a node.
+    /// Returns a relative measure of the time that a new request would take at a node; only comparisons are
+    /// meaningful.
     fn expected_wait(&self, queue: &NodeQueue) -> f64 {
         let window = queue.window.exact_limit();
         let work = 1.0 + queue.queued_count() as f64 / window + queue.in_flight.len() as f64 / window;
--- a/src/scheduler/retry_budget.rs
+++ b/src/scheduler/retry_budget.rs
@@ -1,5 +1,5 @@
-//! The retry budget: attempts beyond each request's first are bounded by a share of the requests that arrived, so
-//! that retries don't add to an overload.
+//! Retry budget: limits the attempts beyond the first of each request to a fraction of the requests received, so that
+//! retries do not add to an overload.
 
 use super::settings::RetryBudget;
 use std::collections::VecDeque;
@@ -7,19 +7,20 @@
 /// Counts arrivals and retries over the budget's sliding window.
 pub(super) struct RetryBudgetWindow {
     budget: Option<RetryBudget>,
-    /// Shortest time between two calls of the scheduler: the count errs by it on the strict side.
+    /// Minimum time between two calls of the scheduler. Time stamps may be off by this much, so arrivals leave the
+    /// window a tick early and retries a tick late.
     tick_s: f64,
     arrivals: VecDeque<f64>,
     retries: VecDeque<f64>,
 }
 
 impl RetryBudgetWindow {
-    /// Nothing counted yet. Without a budget every retry is allowed.
+    /// Creates an empty window. Without a budget every retry is allowed.
     pub(super) fn new(budget: Option<RetryBudget>, tick_s: f64) -> RetryBudgetWindow {
         RetryBudgetWindow { budget, tick_s, arrivals: VecDeque::new(), retries: VecDeque::new() }
     }
 
-    /// Counts a request that arrived.
+    /// Counts the arrival of a request.
     pub(super) fn record_arrival(&mut self, now: f64) {
         if self.budget.is_some() {
             self.arrivals.push_back(now);
@@ -33,16 +34,16 @@
         }
     }
 
-    /// Whether one more retry fits the budget.
+    /// Returns whether one more retry fits the budget.
     pub(super) fn allows_retry(&mut self, now: f64) -> bool {
-        self.forget_expired(now);
+        self.remove_expired(now);
         let Some(budget) = self.budget else { return true };
         let allowed = budget.min_retries + budget.ratio * self.arrivals.len() as f64;
         (self.retries.len() + 1) as f64 <= allowed
     }
 
-    /// Forgets what has left the window.
-    pub(super) fn forget_expired(&mut self, now: f64) {
+    /// Removes the arrivals and retries that have left the window.
+    pub(super) fn remove_expired(&mut self, now: f64) {
         let Some(budget) = self.budget else { return };
         let window_start = now - budget.window_s;
         let expired_arrivals = self.arrivals.partition_point(|at| *at <= window_start + self.tick_s);
--- a/src/scheduler/retry_rules.rs
+++ b/src/scheduler/retry_rules.rs
@@ -1,11 +1,13 @@
-//! Retry rules: whether, where and until when a request may be sent again, by its class's idempotency and by what its
-//! earlier attempts may have done. That a retry may go to another node than the first attempt is decided here.
+//! Retry rules: whether, where and until when a request may be sent again, depending on the idempotency of its class
+//! and on what its earlier attempts may have done. These rules also decide whether a retry may go to a different node
+//! than the first attempt.
 
 use super::interface::Endpoint;
 use super::settings::{DeduplicationScope, Idempotency};
 use flaxgap_attempts::{Attempt, Attempts};
 
-/// Whether the request may be rejected, which tells the client that sending it again is harmless.
+/// Returns whether the request may be rejected. A rejection tells the client that sending the request again is
+/// harmless.
 pub(super) fn may_reject(idempotency: Idempotency, attempts: &Attempts) -> bool {
     match idempotency {
         Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::AllNodes, .. } => true,
@@ -13,18 +15,20 @@
     }
 }
 
-/// When the time for another attempt ends: idempotency keys are remembered for a limited time.
+/// Returns the time until which a request may be sent again. It is limited because nodes remember idempotency keys for
+/// a limited time.
 pub(super) fn retry_window_end(idempotency: Idempotency, attempts: &Attempts) -> f64 {
     let Idempotency::WithKey { window_s, .. } = idempotency else { return f64::INFINITY };
     attempts.may_have_run().map(|attempt| attempt.sent_at + window_s).fold(f64::INFINITY, f64::min)
 }
 
-/// Whether one more attempt is allowed at all, on whichever node.
+/// Returns whether a further attempt is allowed on any node.
 pub(super) fn may_retry(idempotency: Idempotency, attempts: &Attempts) -> bool {
     idempotency != Idempotency::NotIdempotent || attempts.may_have_run().next().is_none()
 }
 
-/// Whether an attempt that begins within `margin_s` may go to this node. Two are never in flight at once.
+/// Returns whether an attempt that starts within `margin_s` may be sent to `target`. A request never has two attempts
+/// in flight at the same time.
 pub(super) fn may_send(
     idempotency: Idempotency,
     attempts: &Attempts,
@@ -38,7 +42,7 @@
         && attempts.may_have_run().all(|earlier| may_follow(idempotency, earlier, target))
 }
 
-/// Whether a node recognises a duplicate of an earlier attempt that may have run.
+/// Returns whether `target` recognises a duplicate of an earlier attempt that may have run.
 fn may_follow(idempotency: Idempotency, earlier: &Attempt, target: &Endpoint) -> bool {
     match idempotency {
         Idempotency::Idempotent => true,
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -1,15 +1,15 @@
-//! The settings of a scheduler: request classes, plans, limits and the guarantees of the installation.
+//! The settings of a scheduler: request classes, plans, limits and the guarantees of the deployment.
 //!
-//! Durations are `f64` seconds and carry the suffix `_s`. Sizes are in units, the settings' measure of the work that a
-//! request causes. The file that operators write uses names of its own; `crate::config` maps them to these fields.
+//! Durations are `f64` seconds and carry the suffix `_s`. Sizes are in units, which measure the work that a request
+//! causes. The configuration file uses different names; `crate::config` maps them to these fields.
 
 pub use flaxgap_slow_start::SlowStartSettings;
 use std::fmt;
 
-/// The nodes that recognise a retry by its idempotency key and drop it.
+/// The set of nodes that detect a duplicate by its idempotency key and discard it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every node.
+    /// All nodes.
     AllNodes,
     /// The nodes in the zone of the node that received the first attempt.
     Zone,
@@ -20,133 +20,135 @@
 /// Whether a request may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// The request may be sent again any number of times.
     Idempotent,
-    /// With its idempotency key, inside the deduplication scope and the window.
+    /// The request may be sent again with its idempotency key, within the deduplication scope and window.
     WithKey {
-        /// The nodes that drop a duplicate.
+        /// The nodes that discard a duplicate.
         scope: DeduplicationScope,
-        /// How long after the start of the first attempt they do, in seconds.
+        /// Seconds after the start of the first attempt during which duplicates are discarded.
         window_s: f64,
     },
-    /// Never.
+    /// The request must not be sent again.
     NotIdempotent,
 }
 
-/// One class of requests.
+/// Settings of one request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Latency, in seconds, up to which an answer earns the full priority weight.
     pub latency_objective_s: f64,
-    /// How long a client waits in all, in seconds.
+    /// Total time that a client waits for an answer, in seconds.
     pub deadline_s: f64,
     /// Value of a request of mean size.
     pub priority_weight: f64,
     /// Fraction of the priority weight that an answer after the latency objective still earns.
     pub late_fraction: f64,
-    /// Whether a request may run more than once.
+    /// Whether a request of the class may run more than once.
     pub idempotency: Idempotency,
     /// Whether requests for one extent run one at a time, in order of arrival.
     pub ordered: bool,
 }
 
-/// The token bucket that bounds one volume, over all heads.
+/// Token bucket that limits the request rate of a volume over all heads.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Units a second at which the bucket fills.
+    /// Refill rate of the bucket, in units per second.
     pub rate: f64,
-    /// Units that the bucket holds.
+    /// Capacity of the bucket, in units.
     pub burst: f64,
-    /// Units that it may be overdrawn by.
+    /// Units by which the volume may exceed the bucket.
     pub slack: f64,
 }
 
-/// One plan; its figures hold for each volume over all heads and nodes.
+/// Settings of one plan. The values apply to each volume of the plan, over all heads and nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second that such a volume is sized for.
+    /// Rate that a volume of the plan is sized for, in units per second.
     pub base_rate: f64,
-    /// Units a second that are reserved for the volume and earn their full value.
+    /// Rate reserved for each volume, in units per second. Work within the reserve earns its full value.
     pub reserve: f64,
-    /// Weight in what is left past the reserves.
+    /// Weight of a volume in the sharing of the capacity beyond the reserves.
     pub weight: f64,
     /// Factor on the value of the volume's requests.
     pub value_factor: f64,
-    /// The rate limit, if the plan has one.
+    /// Rate limit of the plan, if it has one.
     pub limit: Option<RateLimit>,
 }
 
-/// The retry budget: how many attempts beyond each request's first are allowed.
+/// The retry budget: the number of attempts allowed beyond the first attempt of each request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed however light the traffic is.
+    /// Number of retries allowed regardless of the number of requests.
     pub min_retries: f64,
-    /// Retries allowed on top, for each request received.
+    /// Additional retries allowed per request received.
     pub ratio: f64,
-    /// The sliding window over which both are counted, in seconds.
+    /// The sliding window over which requests and retries are counted, in seconds.
     pub window_s: f64,
 }
 
-/// Mechanisms that a deployment may allow.
+/// Optional mechanisms that a deployment may enable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OptionalMechanisms {
-    /// Whether a request may be hedged: two of its attempts in flight at once.
+    /// Whether a request may be hedged, with two of its attempts in flight at once.
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether nodes may be sent health checks.
+    /// Whether health checks may be sent to nodes.
     pub health_checks: bool,
 }
 
-/// Everything that a scheduler is configured with.
+/// Settings of a scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerSettings {
-    /// The request classes.
+    /// The request classes, indexed by `ClassId`.
     pub classes: Vec<Class>,
-    /// The plans.
+    /// The plans, indexed by `PlanId`.
     pub plans: Vec<Plan>,
     /// Mean size of a request, in units.
     pub mean_request_units: f64,
-    /// Largest size of a request, in units.
+    /// Maximum size of a request, in units.
     pub max_request_units: f64,
-    /// Fraction of the value that work beyond the reserve earns inside the volume's quota.
+    /// Fraction of its value that work beyond the reserve earns within the volume's quota.
     pub within_quota_fraction: f64,
-    /// Fraction of the value that work beyond reserve and quota earns.
+    /// Fraction of its value that work beyond reserve and quota earns.
     pub beyond_quota_fraction: f64,
-    /// Number of heads in all.
+    /// Total number of heads.
     pub heads: u32,
-    /// Shortest time between two calls of the scheduler, in seconds.
+    /// Minimum time between two calls of the scheduler, in seconds.
     pub tick_s: f64,
-    /// Requests that clients can have open at this head; more of them fail before they arrive.
+    /// Maximum number of requests that clients can have open at this head. Further requests fail before they reach the
+    /// scheduler.
     pub max_pending: usize,
-    /// Most attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Which optional mechanisms are on.
+    /// The optional mechanisms that are enabled.
     pub mechanisms: OptionalMechanisms,
-    /// Whether load reports come with answers; otherwise they come with health checks, if at all.
+    /// Whether answers carry load reports. Otherwise only the answers to health checks may carry them.
     pub load_reports_in_answers: bool,
-    /// Period of the figure [`Event::AttemptEnded::usage`](super::Event::AttemptEnded), in seconds; 0 for none.
+    /// Length of the period that [`Event::AttemptEnded::usage`](super::Event::AttemptEnded) covers, in seconds; 0 if
+    /// usage is not reported.
     pub usage_period_s: f64,
     /// Whether answers carry [`Event::AttemptEnded::usage_elsewhere`](super::Event::AttemptEnded).
     pub reports_usage_elsewhere: bool,
-    /// Where the endpoint list has to be polled: the longest time between two polls, in seconds.
+    /// Maximum time between two polls of the endpoint list, in seconds; `None` where the list need not be polled.
     pub poll_interval_s: Option<f64>,
     /// Slow start of nodes.
     pub slow_start: SlowStartSettings,
-    /// The retry budget, if there is one.
+    /// The retry budget, if retries are limited.
     pub retry_budget: Option<RetryBudget>,
-    /// Seconds for which an ordered extent is left alone after an attempt that may still run.
+    /// Seconds for which an ordered extent gets no new request after an attempt that may still be running.
     pub ordering_pause_s: f64,
-    /// Longest `retry_after` that clients observe, in seconds; 0 where they observe none.
+    /// Maximum `retry_after` that clients observe, in seconds; 0 if clients ignore `retry_after`.
     pub max_retry_after_s: f64,
 }
 
-/// Settings that no scheduler can work with.
+/// An invalid value in [`SchedulerSettings`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SchedulerSettingsError {
-    /// The path of the field that is wrong.
+    /// Path of the invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// The requirement that the value violates.
     pub problem: &'static str,
 }
 
@@ -166,29 +168,29 @@
     if value > 0.0 && value.is_finite() {
         return Ok(());
     }
-    Err(invalid(field, "must be above zero"))
+    Err(invalid(field, "must be finite and above zero"))
 }
 
 fn require_not_negative(field: String, value: f64) -> Result<(), SchedulerSettingsError> {
     if value >= 0.0 && value.is_finite() {
         return Ok(());
     }
-    Err(invalid(field, "must be a number of zero or more"))
+    Err(invalid(field, "must be finite and not negative"))
 }
 
 impl SchedulerSettings {
-    /// Checks that the figures can be worked with.
+    /// Checks that every value is within its valid range.
     ///
     /// # Errors
     ///
-    /// Names the first field that is negative, not finite, or zero where it may not be.
+    /// Returns an error for the first value found that is negative, not finite, or zero where zero is not allowed.
     pub fn check(&self) -> Result<(), SchedulerSettingsError> {
         for (index, class) in self.classes.iter().enumerate() {
             let field = |name: &str| format!("classes[{index}].{name}");
             require_positive(field("latency_objective"), class.latency_objective_s)?;
             require_positive(field("deadline"), class.deadline_s)?;
         }
-        self.check_figures()?;
+        self.check_scalars()?;
         if let Some(budget) = &self.retry_budget {
             require_not_negative("retry_budget.min_retries".into(), budget.min_retries)?;
             require_not_negative("retry_budget.ratio".into(), budget.ratio)?;
@@ -208,8 +210,8 @@
         Ok(())
     }
 
-    fn check_figures(&self) -> Result<(), SchedulerSettingsError> {
-        let figures = [
+    fn check_scalars(&self) -> Result<(), SchedulerSettingsError> {
+        let scalars = [
             ("mean_request_units", self.mean_request_units),
             ("max_request_units", self.max_request_units),
             ("within_quota_fraction", self.within_quota_fraction),
@@ -225,7 +227,7 @@
             ("slow_start.warm_up", self.slow_start.warm_up_s),
             ("slow_start.overload_factor", self.slow_start.overload_factor),
         ];
-        for (field, value) in figures {
+        for (field, value) in scalars {
             require_not_negative(field.into(), value)?;
         }
         Ok(())
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start of nodes that have just started, as it applies to this process (the rule itself is in
-//! `flaxgap_slow_start`).
+//! Slow start of recently started nodes, with the settings and share of this process. The algorithm is in
+//! `flaxgap_slow_start`.
 
 use super::fleet_latency::FleetLatency;
 use super::node_queue::NodeQueue;
@@ -7,7 +7,7 @@
 use super::settings::{SchedulerSettings, SlowStartSettings};
 use flaxgap_slow_start::{NodeCondition, SenderShare, WaitingRequest};
 
-/// The slow-start settings and this process's share of what a node may be sent.
+/// The slow-start settings and this process's share of the load that a node may receive.
 pub(super) struct SlowStartLimit {
     settings: SlowStartSettings,
     sender: SenderShare,
@@ -15,7 +15,7 @@
 }
 
 impl SlowStartLimit {
-    /// This process is the head's only one.
+    /// Creates the limit for a process that is the only one of its head.
     pub(super) fn new(settings: &SchedulerSettings, tightest_objective_s: f64) -> SlowStartLimit {
         SlowStartLimit {
             settings: settings.slow_start,
@@ -24,14 +24,15 @@
         }
     }
 
-    /// Sets the fraction of the head's share that this process may send from now on.
+    /// Sets the fraction of the head's share that this process may send.
     pub(super) fn set_process_share(&mut self, fraction: f64) {
         self.sender.process_share = fraction;
     }
 
-    /// Units a second that this process may send a queue's node; `None` if the node has warmed up.
+    /// Returns the rate at which this process may send to the queue's node, in units per second, or `None` if the node
+    /// has warmed up.
     pub(super) fn rate(&self, queue: &NodeQueue, now: f64, fleet: FleetLatency) -> Option<f64> {
-        // A start at 0 stands for one long ago.
+        // A start time of 0 means that the node started long ago.
         let node = queue.serving_node.endpoint.as_ref().filter(|node| node.started_at > 0.0)?;
         let condition = NodeCondition {
             age_s: now - node.started_at,
@@ -40,7 +41,7 @@
         queue.slow_start.allowed_rate(&self.settings, self.sender, condition, now)
     }
 
-    /// Seconds until a request may go at this rate; 0 if it may now.
+    /// Returns the seconds until a request may be sent at this rate; 0 if it may be sent now.
     pub(super) fn wait_s(&self, queue: &mut NodeQueue, rate: f64, pending: &PendingRequest, now: f64) -> f64 {
         let request = WaitingRequest {
             units: pending.request.units,
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -1,23 +1,23 @@
-//! The scheduler's timers: sampling ticks, and the one wake-up that it asks its caller for.
+//! The scheduler's timers: the sampling ticks, and the single wake-up that is requested from the caller.
 
 use super::interface::Action;
 
-/// Seconds between two sampling ticks. The paper's 5 s is longer than the load peaks met here.
+/// Interval between two sampling ticks, in seconds. The paper's 5 s is longer than the load peaks of this system.
 pub(super) const SAMPLING_TICK_S: f64 = 0.5;
-/// Shortest delay of a wake-up, in seconds.
+/// Minimum delay of a wake-up, in seconds.
 const MIN_DELAY_S: f64 = 1e-3;
 
-/// The next sampling tick and the next wake-up.
+/// The times of the next sampling tick, wake-up and evaluation.
 pub(super) struct Timers {
     next_tick_at: f64,
-    /// When the wake-up that was asked for is due; infinity for none.
+    /// Time of the requested wake-up; infinity if none is requested.
     wake_up_at: f64,
-    /// The earliest moment at which a queued request that can't be sent now has to be evaluated again.
+    /// The earliest time at which a queued request that can't be sent now has to be evaluated again.
     next_evaluation_at: f64,
 }
 
 impl Timers {
-    /// The first tick is one sampling period away.
+    /// Creates timers whose first tick is one sampling interval after `now`.
     pub(super) fn new(now: f64) -> Timers {
         Timers {
             next_tick_at: now + SAMPLING_TICK_S,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Moves on to the next tick if one is due, and returns whether it was.
+    /// Advances to the next tick if one is due. Returns whether one was due.
     pub(super) fn take_due_tick(&mut self, now: f64) -> bool {
         let is_due = now >= self.next_tick_at;
         if is_due {
@@ -35,23 +35,23 @@
         is_due
     }
 
-    /// Forgets when to evaluate again, at the start of a new evaluation of all queued requests.
+    /// Clears the time of the next evaluation, before all queued requests are evaluated again.
     pub(super) fn reset_next_evaluation(&mut self) {
         self.next_evaluation_at = f64::INFINITY;
     }
 
-    /// Notes that a queued request has to be evaluated again at `at`.
+    /// Schedules an evaluation of the queued requests no later than `at`.
     pub(super) fn evaluate_again_at(&mut self, at: f64) {
         self.next_evaluation_at = self.next_evaluation_at.min(at);
     }
 
-    /// The wake-up that was asked for has come.
-    pub(super) fn woke_up(&mut self) {
+    /// Records that the requested wake-up has occurred.
+    pub(super) fn record_wake_up(&mut self) {
         self.wake_up_at = f64::INFINITY;
     }
 
-    /// Asks for a wake-up at the earliest moment at which something falls due, unless one is on its way that is
-    /// as early. `other_due_at` is the earliest moment of what these timers don't know.
+    /// Requests a wake-up for the earliest of the timers and `other_due_at`, unless a wake-up at least as early is
+    /// already requested. `other_due_at` is the earliest time due outside these timers.
     pub(super) fn request_wake_up(
         &mut self,
         now: f64,
--- a/src/scheduler/volume_quotas.rs
+++ b/src/scheduler/volume_quotas.rs
@@ -1,44 +1,46 @@
-//! Volumes' quotas at this head: token buckets for each volume's rate limit and reserve.
+//! Quotas of the volumes at this head: token buckets for each volume's rate limit and reserve.
 //!
-//! A volume's limit is split evenly over the heads that its requests come through, and each head enforces its part.
+//! A volume's limit is split evenly among the heads that receive its requests. Each head enforces its own part.
 
 use super::interface::{IoRequest, PlanId, VolumeId};
 use super::settings::{Class, Plan, RateLimit, SchedulerSettings};
 use std::collections::BTreeMap;
 
-/// Fraction of a limit's burst that is left unspent: together with the slack it covers one restart of every head.
+/// Fraction of a limit's burst that is left unspent. Together with the slack it covers one restart of every head.
 const UNSPENT_FRACTION: f64 = 0.15;
-/// Seconds after which an idle volume's buckets are full again, unless its limit takes longer.
+/// Minimum time for which the buckets of an idle volume are kept, in seconds. They are kept longer if a limit takes
+/// longer to refill.
 const MIN_RETENTION_S: f64 = 60.0;
-/// Units by which a bucket has to exceed what a request takes, against rounding.
+/// Margin against rounding errors, in units, by which a bucket has to exceed the size of a request.
 const ROUNDING_UNITS: f64 = 0.01;
 
-/// One volume's token buckets, in units.
+/// Token buckets of one volume, in units.
 pub(super) struct VolumeBuckets {
-    /// Heads that the volume's requests come through.
+    /// Number of heads that receive requests of the volume.
     heads: f64,
-    /// This head's part of the rate limit.
+    /// Tokens left in this head's part of the rate limit.
     limit: f64,
-    /// What of the reserve was not sent yet.
+    /// Reserve that has not been used by a sent request.
     reserve: f64,
-    /// What of the reserve no request has claimed at its arrival yet.
+    /// Reserve that has not been claimed by an arrived request.
     unclaimed_reserve: f64,
     refilled_at: f64,
 }
 
 impl VolumeBuckets {
-    /// What is left of the reserve.
+    /// Returns the units left in the reserve.
     pub(super) fn reserve(&self) -> f64 {
         self.reserve
     }
 
-    /// What this head adds to the reserve over `seconds`. It is divided by the square root of the number of heads,
-    /// not by their number: a head may meet more than an even part of a volume's requests.
+    /// Returns the units by which this head's reserve refills in `seconds`. The plan's rate is divided by the square
+    /// root of the number of heads, not by the number itself, since a head may receive more than an even part of a
+    /// volume's requests.
     pub(super) fn reserve_refill(&self, seconds: f64, plan_reserve: f64) -> f64 {
         seconds * plan_reserve / self.heads.sqrt()
     }
 
-    /// Claims a part of the reserve for a request that arrives, if all of it fits. Returns whether it does.
+    /// Claims reserve for an arriving request, if enough is left for all of it. Returns whether it was claimed.
     pub(super) fn claim_reserve(&mut self, units: f64) -> bool {
         let fits = self.unclaimed_reserve >= units;
         if fits {
@@ -47,7 +49,7 @@
         fits
     }
 
-    /// Charges an attempt that was sent. The reserve is charged at the first attempt only.
+    /// Charges an attempt that was sent. Only the first attempt of a request is charged to the reserve.
     pub(super) fn charge(&mut self, units: f64, is_retry: bool) {
         let reserved_units = if is_retry { 0.0 } else { units };
         self.reserve = (self.reserve - reserved_units).max(0.0);
@@ -69,19 +71,19 @@
     }
 }
 
-/// What of a limit's bucket a class leaves for work of a higher value.
-struct ClassHoldback {
-    /// For work in time: the bucket's refill over so many seconds.
+/// The part of a limit's bucket that a class leaves for requests of higher priority.
+struct ClassHeadroom {
+    /// Part left by requests within their latency objective, as the bucket's refill over this many seconds.
     in_time_s: f64,
-    /// For late work: a fraction of the burst.
+    /// Part left by late requests, as a fraction of the burst.
     late_burst_fraction: f64,
 }
 
-impl ClassHoldback {
-    fn new(class: &Class, highest_priority_weight: f64, tightest_objective_s: f64) -> ClassHoldback {
-        let lower_by = 1.0 - class.priority_weight / highest_priority_weight;
-        ClassHoldback {
-            in_time_s: lower_by * tightest_objective_s,
+impl ClassHeadroom {
+    fn new(class: &Class, highest_priority_weight: f64, tightest_objective_s: f64) -> ClassHeadroom {
+        let priority_gap = 1.0 - class.priority_weight / highest_priority_weight;
+        ClassHeadroom {
+            in_time_s: priority_gap * tightest_objective_s,
             late_burst_fraction: (1.0 - class.late_fraction.min(1.0)) * (1.0 - UNSPENT_FRACTION),
         }
     }
@@ -91,66 +93,68 @@
     }
 }
 
-/// The buckets of all volumes that have sent requests lately.
+/// The buckets of all volumes with recent requests.
 pub(super) struct VolumeQuotas {
     plans: Vec<Plan>,
     max_request_units: f64,
-    holdbacks: Vec<ClassHoldback>,
+    headrooms: Vec<ClassHeadroom>,
     retention_s: f64,
     volumes: BTreeMap<VolumeId, VolumeBuckets>,
-    /// Fraction of the head's quotas that this process may spend.
+    /// Fraction of the head's quotas that this process may use.
     process_share: f64,
-    /// When that began. A volume's bucket fills from then on.
-    share_since: f64,
-    /// Whether another process of the head has run beside this one: it may have spent what a start may spend.
-    starts_empty: bool,
+    /// The time since which `process_share` has been in effect. The buckets of a new volume refill from this time on.
+    process_share_since: f64,
+    /// Whether another process of the head has run beside this one. That process may already have used the initial
+    /// allowance of a new volume's limit.
+    new_limits_start_empty: bool,
 }
 
 impl VolumeQuotas {
-    /// No volume known yet.
+    /// Creates a table without volumes.
     pub(super) fn new(settings: &SchedulerSettings, tightest_objective_s: f64, now: f64) -> VolumeQuotas {
         let classes = &settings.classes;
         let highest_weight = classes.iter().map(|class| class.priority_weight).fold(1e-9, f64::max);
-        let holdback = |class| ClassHoldback::new(class, highest_weight, tightest_objective_s);
+        let headroom = |class| ClassHeadroom::new(class, highest_weight, tightest_objective_s);
         let limits = settings.plans.iter().filter_map(|plan| plan.limit);
         VolumeQuotas {
             plans: settings.plans.clone(),
             max_request_units: settings.max_request_units,
-            holdbacks: classes.iter().map(holdback).collect(),
+            headrooms: classes.iter().map(headroom).collect(),
             retention_s: limits.map(|limit| limit.burst / limit.rate).fold(MIN_RETENTION_S, f64::max),
             volumes: BTreeMap::new(),
             process_share: 1.0,
-            share_since: now,
-            starts_empty: false,
+            process_share_since: now,
+            new_limits_start_empty: false,
         }
     }
 
-    /// Sets the fraction of the head's quotas that this process may spend from now on.
+    /// Sets the fraction of the head's quotas that this process may use from now on.
     pub(super) fn set_process_share(&mut self, fraction: f64, now: f64) {
         self.process_share = fraction;
-        self.share_since = now;
-        self.starts_empty = true;
+        self.process_share_since = now;
+        self.new_limits_start_empty = true;
         for volume in self.volumes.values_mut() {
             volume.refilled_at = now;
         }
     }
 
-    /// Makes the buckets of a request's volume known.
+    /// Creates the buckets of a request's volume if they do not exist, and adjusts them to a higher number of heads.
     pub(super) fn register(&mut self, request: &IoRequest) {
         let heads = f64::from(request.heads.max(1));
         let plan = self.plans.get(request.plan.0);
         let reserve = plan.map_or(0.0, |plan| plan.reserve + self.max_request_units);
         let has_reserve = plan.is_some_and(|plan| plan.reserve > 0.0);
-        // An earlier incarnation may have spent its part, so a start gets its part of what is left unspent.
+        // A previous process of this head may have spent its part of the burst, so a new volume starts with its part
+        // of the fraction that is left unspent.
         let limit = plan
             .and_then(|plan| plan.limit)
             .map_or(0.0, |limit| (UNSPENT_FRACTION * limit.burst + limit.slack) / heads);
         let initial = VolumeBuckets {
             heads,
-            limit: if self.starts_empty { 0.0 } else { limit },
+            limit: if self.new_limits_start_empty { 0.0 } else { limit },
             reserve,
             unclaimed_reserve: if has_reserve { reserve } else { 0.0 },
-            refilled_at: self.share_since,
+            refilled_at: self.process_share_since,
         };
         let volume = self.volumes.entry(request.volume).or_insert(initial);
         if heads > volume.heads {
@@ -159,7 +163,7 @@
         }
     }
 
-    /// A volume's buckets, filled up to now. `None` if the volume or its plan is unknown.
+    /// Returns a volume's buckets, refilled up to `now`, or `None` if the volume or its plan is unknown.
     pub(super) fn refill(&mut self, volume: VolumeId, plan: PlanId, now: f64) -> Option<&mut VolumeBuckets> {
         let plan = self.plans.get(plan.0)?;
         let buckets = self.volumes.get_mut(&volume)?;
@@ -167,26 +171,27 @@
         Some(buckets)
     }
 
-    /// Seconds until a request fits its volume's limit, if none of the volume's goes before it; 0 if it fits now.
-    /// `is_late` tells whether it is then late, and so has to leave more of the bucket to other work.
+    /// Returns the seconds until a request fits its volume's limit, assuming that no other request of the volume is
+    /// sent before it; 0 if it fits now. `is_late` is whether the request will be late by then, in which case it has
+    /// to leave more of the bucket to other requests.
     pub(super) fn limit_wait_s(&mut self, request: &IoRequest, is_late: bool, now: f64) -> f64 {
         let process_share = self.process_share;
         let Some(buckets) = self.refill(request.volume, request.plan, now) else { return 0.0 };
         let available = buckets.limit;
         let fraction = process_share / buckets.heads;
         let Some(limit) = self.plans.get(request.plan.0).and_then(|plan| plan.limit) else { return 0.0 };
-        let held_back = self.holdbacks[request.class.0].units(&limit, is_late);
-        let missing = request.units + held_back * fraction - available + ROUNDING_UNITS;
+        let headroom = self.headrooms[request.class.0].units(&limit, is_late);
+        let missing = request.units + headroom * fraction - available + ROUNDING_UNITS;
         (missing / (limit.rate * fraction)).max(0.0)
     }
 
-    /// Forgets the volumes whose buckets are full again.
-    pub(super) fn forget_idle(&mut self, now: f64) {
+    /// Removes the volumes that have been idle for long enough that their buckets are full again.
+    pub(super) fn remove_idle(&mut self, now: f64) {
         let retention_s = self.retention_s;
         self.volumes.retain(|_, volume| now - volume.refilled_at < retention_s);
     }
 
-    /// How many volumes are known.
+    /// Returns the number of volumes in the table.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.volumes.len()
