--- a/crates/attempts/tests/attempts.rs
+++ b/crates/attempts/tests/attempts.rs
@@ -13,19 +13,19 @@
     assert!(attempts.is_empty() && !attempts.has_in_flight());
     attempts.push(sent(3));
     assert_eq!(attempts.in_flight_shard(), Some(ShardId(3)));
-    assert_eq!(attempts.record_end(1, AttemptOutcome::Ok), None, "there was no second one");
+    assert_eq!(attempts.record_end(1, AttemptOutcome::Ok), None, "no second attempt was sent");
     assert_eq!(
         attempts.record_end(0, AttemptOutcome::Rejected).map(|attempt| attempt.shard),
         Some(ShardId(3))
     );
-    assert_eq!(attempts.record_end(0, AttemptOutcome::Ok), None, "it has ended");
+    assert_eq!(attempts.record_end(0, AttemptOutcome::Ok), None, "the attempt has already ended");
     attempts.push(sent(5));
     assert_eq!(attempts.in_flight().collect::<Vec<_>>(), [1]);
     assert_eq!(attempts.len(), 2);
 }
 
 #[test]
-fn only_some_outcomes_prove_that_it_never_ran_or_was_received() {
+fn each_outcome_tells_whether_the_request_may_have_run_and_was_received() {
     let all = [
         (AttemptOutcome::Ok, true, false),
         (AttemptOutcome::Error, true, true),
@@ -39,7 +39,10 @@
     for (outcome, may_have_run, was_received) in all {
         let mut attempts = Attempts::default();
         attempts.push(sent(0));
-        assert!(attempts.may_have_run().next().is_some() && !attempts.was_received(), "it is in flight");
+        assert!(
+            attempts.may_have_run().next().is_some() && !attempts.was_received(),
+            "the attempt is in flight"
+        );
         attempts.record_end(0, outcome);
         assert_eq!(attempts.may_have_run().next().is_some(), may_have_run, "{outcome:?}");
         assert_eq!(attempts.was_received(), was_received, "{outcome:?}");
--- a/crates/shard-table/tests/table.rs
+++ b/crates/shard-table/tests/table.rs
@@ -48,32 +48,35 @@
     assert_eq!([0, 1, 2].map(|shard| serving(&table, shard)), [None, Some(NodeId(9)), Some(NodeId(2))]);
     assert_eq!(served(&table), [1, 2]);
     update(&mut table, UpdateKind::CachedSnapshot, &ready(2..4), 3.0);
-    assert_eq!(served(&table), [2, 3], "what a snapshot lacks is gone");
+    assert_eq!(served(&table), [2, 3], "shards missing from a snapshot are no longer served");
     update(&mut table, UpdateKind::PollFailed, &[], 4.0);
     assert_eq!(served(&table), [2, 3]);
-    assert_eq!(table.first_shard(), Some(ShardId(0)), "a shard stays known");
+    assert_eq!(table.first_shard(), Some(ShardId(0)), "the table keeps shards without nodes");
 }
 
 #[test]
-fn epochs_count_other_nodes_and_other_starts_of_the_same() {
+fn the_epoch_advances_when_the_node_changes_or_restarts() {
     let mut table = ShardTable::<State>::default();
-    let started = |since| Endpoint { started_at: since, ..node(5, 0, NodeState::Ready) };
-    let elsewhere = Endpoint { zone: ZoneId(2), ..started(7.0) };
-    let epochs = [started(0.0), started(0.0), started(7.0), elsewhere, node(5, 0, NodeState::Gone)];
+    let started = |started_at| Endpoint { started_at, ..node(5, 0, NodeState::Ready) };
+    let in_other_zone = Endpoint { zone: ZoneId(2), ..started(7.0) };
+    let entries = [started(0.0), started(0.0), started(7.0), in_other_zone, node(5, 0, NodeState::Gone)];
     let mut seen = Vec::new();
-    for (now, info) in epochs.iter().enumerate() {
-        update(&mut table, UpdateKind::Changes, std::slice::from_ref(info), now as f64);
+    for (now, entry) in entries.iter().enumerate() {
+        update(&mut table, UpdateKind::Changes, std::slice::from_ref(entry), now as f64);
         let serving_node = table.get(ShardId(0)).expect("known").serving_node();
         seen.push((serving_node.epoch, serving_node.changed_at, serving_node.zone()));
         assert_eq!(serving_node.shard_known_at, 0.0);
     }
-    let (here, there) = (Some(ZoneId(0)), Some(ZoneId(2)));
-    assert_eq!(seen, [(1, 0.0, here), (1, 0.0, here), (2, 2.0, here), (2, 2.0, there), (3, 4.0, None)]);
+    let (zone_0, zone_2) = (Some(ZoneId(0)), Some(ZoneId(2)));
+    assert_eq!(
+        seen,
+        [(1, 0.0, zone_0), (1, 0.0, zone_0), (2, 2.0, zone_0), (2, 2.0, zone_2), (3, 4.0, None)]
+    );
 }
 
 /// Guards against a state that misses changes of its shard before or after the shard's first use.
 #[test]
-fn a_state_is_made_at_the_first_use_and_notified_of_changes_from_then_on() {
+fn state_is_created_at_first_use_and_notified_of_later_changes() {
     let mut table = ShardTable::default();
     update(&mut table, UpdateKind::Snapshot, &ready(0..2), 1.0);
     update(&mut table, UpdateKind::Changes, &[node(0, 0, NodeState::Draining)], 2.0);
@@ -95,7 +98,7 @@
 
 /// Guards against updates whose cost depends on the number of nodes: only the shards of changed entries are touched.
 #[test]
-fn an_update_touches_the_shards_that_it_names() {
+fn an_update_affects_only_the_shards_of_its_entries() {
     let mut table = ShardTable::<State>::default();
     let mut touched = 0;
     let mut count = |table: &mut ShardTable<State>, kind, nodes: &[Endpoint]| {
@@ -124,7 +127,7 @@
 }
 
 #[test]
-fn served_shards_stay_sorted_however_they_come_and_go() {
+fn served_shards_stay_sorted_across_updates_of_any_size() {
     let mut table = ShardTable::default();
     let mut shuffled = ready(0..200);
     shuffled.sort_by_key(|endpoint| endpoint.node.0 * 7919 % 211);
@@ -147,7 +150,7 @@
 }
 
 #[test]
-fn used_shards_of_an_index_are_handled_and_stay_as_the_handler_says() {
+fn retain_in_index_keeps_the_used_shards_that_the_handler_selects() {
     let mut table = ShardTable::default();
     update(&mut table, UpdateKind::Snapshot, &ready(0..9), 0.0);
     for shard in [2, 5, 7] {
--- a/src/scheduler/fleet_latency.rs
+++ b/src/scheduler/fleet_latency.rs
@@ -15,7 +15,7 @@
 }
 
 impl FleetLatency {
-    /// Creates a mean without answers. Its time constant is a multiple of the tightest latency objective of all
+    /// Creates a mean of 0, before any answer. Its time constant is a multiple of the tightest latency objective of all
     /// classes.
     pub(super) fn new(tightest_objective_s: f64) -> FleetLatency {
         FleetLatency {
--- a/src/scheduler/interface.rs
+++ b/src/scheduler/interface.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// A request as it arrives.
+/// A request on its arrival at the head.
 #[derive(Clone, Debug)]
 pub struct IoRequest {
     /// Identifies the request in events and actions.
--- a/src/scheduler/node_latency.rs
+++ b/src/scheduler/node_latency.rs
@@ -16,7 +16,7 @@
 }
 
 impl NodeLatency {
-    /// Creates means without answers.
+    /// Creates means of 0, before any answer.
     pub(super) fn new(classes: usize) -> NodeLatency {
         NodeLatency { recent_s: 0.0, last_answer_at: 0.0, class_means_s: vec![0.0; classes] }
     }
--- a/src/scheduler/node_queues.rs
+++ b/src/scheduler/node_queues.rs
@@ -15,7 +15,7 @@
 }
 
 impl NodeQueues {
-    /// Creates a table without shards.
+    /// Creates an empty table.
     pub(super) fn new(settings: &SchedulerSettings) -> NodeQueues {
         NodeQueues {
             shards: ShardTable::default(),
--- a/src/scheduler/volume_quotas.rs
+++ b/src/scheduler/volume_quotas.rs
@@ -110,7 +110,7 @@
 }
 
 impl VolumeQuotas {
-    /// Creates a table without volumes.
+    /// Creates an empty table.
     pub(super) fn new(settings: &SchedulerSettings, tightest_objective_s: f64, now: f64) -> VolumeQuotas {
         let classes = &settings.classes;
         let highest_weight = classes.iter().map(|class| class.priority_weight).fold(1e-9, f64::max);
