--- a/src/node/attempt.rs
+++ b/src/node/attempt.rs
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// The reason for which no byte of the request was written.
+    /// Returns the reason if no byte of the request was written.
     async fn exchange(&self, mut connection: NodeConnection) -> Result<AttemptResult, NotSentReason> {
         // Opening the connection may have taken long.
         self.guard.check(Stage::Connected, None)?;
--- a/src/node/tests/attempt.rs
+++ b/src/node/tests/attempt.rs
@@ -16,16 +16,16 @@
 
 impl FullListener {
     async fn start() -> FullListener {
-        let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-        socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
-        let listener = socket.listen(1).expect("a listener");
-        let address = listener.local_addr().expect("an address");
+        let socket = tokio::net::TcpSocket::new_v4().expect("failed to create a socket");
+        socket.bind(([127, 0, 0, 1], 0).into()).expect("failed to bind a port");
+        let listener = socket.listen(1).expect("failed to listen");
+        let address = listener.local_addr().expect("no local address");
         let mut queued = Vec::new();
         while let Ok(Ok(stream)) =
             timeout_at(Instant::now() + REUSE_DELAY * 10, TcpStream::connect(address)).await
         {
             queued.push(stream);
-            assert!(queued.len() < 64, "the queue never fills");
+            assert!(queued.len() < 64, "the accept queue does not fill up");
         }
         FullListener { address, _listener: listener, _queued: queued }
     }
@@ -50,9 +50,9 @@
             let mut node_side = tokio::select! {
                 result = sending.as_mut() => panic!("{:?}", result.outcome),
                 node_side = async {
-                    let (mut node_side, _) = listener.accept().await.expect("a connection");
+                    let (mut node_side, _) = listener.accept().await.expect("connection failed");
                     // The first bytes have arrived; the pause lets the head fill the socket buffers.
-                    node_side.read_exact(&mut [0; 4]).await.expect("bytes");
+                    node_side.read_exact(&mut [0; 4]).await.expect("no bytes received");
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     node_side
                 } => node_side,
@@ -61,7 +61,7 @@
             assert_eq!(permit.written.get(), expected);
             let mut rest = Vec::new();
             let end = tokio::time::timeout(Duration::from_secs(5), node_side.read_to_end(&mut rest));
-            _ = end.await.expect("the node side receives the connection's end");
+            _ = end.await.expect("connection did not end");
         }
     });
 }
--- a/src/node/tests/connection_reuse.rs
+++ b/src/node/tests/connection_reuse.rs
@@ -11,8 +11,8 @@
 const WRONG_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
 
 fn listen_blocking() -> (std::net::TcpListener, SocketAddr) {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("failed to bind a port");
+    let address = listener.local_addr().expect("no local address");
     (listener, address)
 }
 
@@ -36,11 +36,11 @@
         let served = requests_on.clone();
         std::thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
-                _ = accepted_sender.send(stream.try_clone().expect("a handle"));
+                _ = accepted_sender.send(stream.try_clone().expect("failed to clone the socket"));
                 let served = served.clone();
                 std::thread::spawn(move || {
                     serve(stream, |stream| {
-                        served.lock().expect("served").push(connection);
+                        served.lock().expect("mutex poisoned").push(connection);
                         _ = stream.write_all(RIGHT_RESPONSE);
                     });
                 });
@@ -52,15 +52,15 @@
             let first = transport.send(NODE, &read_request("1"), &permit).await;
             assert_eq!(first.outcome, AttemptOutcome::Ok);
             assert_eq!(first.body.buffered, b"right"[..]);
-            let mut node_side = accepted.recv().expect("the first connection");
+            let mut node_side = accepted.recv().expect("no first connection");
             tokio::time::sleep(REUSE_DELAY * 2).await;
             let mut times_asked = 0;
             let client = ScriptedClient::new(move || {
                 times_asked += 1;
                 if times_asked == 1 && unexpected.is_empty() {
-                    node_side.shutdown(std::net::Shutdown::Write).expect("shutdown");
+                    node_side.shutdown(std::net::Shutdown::Write).expect("shutdown failed");
                 } else if times_asked == 1 {
-                    node_side.write_all(unexpected).expect("written");
+                    node_side.write_all(unexpected).expect("write failed");
                 }
                 true
             });
@@ -75,7 +75,7 @@
             assert_eq!(counters.node_connections.get(), 2);
         });
         assert_eq!(
-            *requests_on.lock().expect("served"),
+            *requests_on.lock().expect("mutex poisoned"),
             [0, 1],
             "{unexpected:?}: one request on each connection"
         );
--- a/src/node/tests/mod.rs
+++ b/src/node/tests/mod.rs
@@ -56,7 +56,10 @@
 
 /// Runs a test's future on a single-threaded runtime.
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("failed to build the runtime");
     runtime.block_on(test);
 }
 
@@ -97,16 +100,16 @@
 
 /// A listener on a free port, and its address.
 async fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a port");
+    let address = listener.local_addr().expect("no local address");
     (listener, address)
 }
 
 /// Both ends of a new connection.
 async fn connect(listener: &TcpListener) -> (TcpStream, TcpStream) {
-    let address = listener.local_addr().expect("an address");
-    let head_side = TcpStream::connect(address).await.expect("a connection");
-    let (node_side, _) = listener.accept().await.expect("a connection");
+    let address = listener.local_addr().expect("no local address");
+    let head_side = TcpStream::connect(address).await.expect("connection failed");
+    let (node_side, _) = listener.accept().await.expect("connection failed");
     (head_side, node_side)
 }
 
--- a/src/node/tests/send_guard.rs
+++ b/src/node/tests/send_guard.rs
@@ -72,7 +72,7 @@
             assert_eq!(stream.write_all(b" /").await.is_ok(), is_ready, "seed {seed}");
             drop(stream);
             let mut received = Vec::new();
-            node_side.read_to_end(&mut received).await.expect("the node side receives the connection's end");
+            node_side.read_to_end(&mut received).await.expect("connection did not end");
             assert_eq!(received, if is_ready { b"GET /".as_slice() } else { b"" }, "seed {seed}");
             written += u32::from(is_ready);
             refused += u32::from(!is_ready);
@@ -159,7 +159,7 @@
             let _ = stream.flush().await;
             drop(stream);
             let mut received = Vec::new();
-            node_side.read_to_end(&mut received).await.expect("the node side receives the connection's end");
+            node_side.read_to_end(&mut received).await.expect("connection did not end");
             let is_sent = change == Change::Nothing;
             assert_eq!(has_begun, is_sent, "round {round}, {change:?}");
             assert_eq!(received.len(), if is_sent { 5 } else { 0 }, "round {round}, {change:?}");
--- a/src/resources/memory/tests.rs
+++ b/src/resources/memory/tests.rs
@@ -25,18 +25,18 @@
 /// is exceeded, no chunk after the current one is received.
 #[test]
 fn bodies_share_the_memory_limit_and_release_their_memory() {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("failed to build the runtime");
     let (memory, body) = (BodyMemory::new(32), |length: usize| Full::new(Bytes::from(vec![1; length])));
     runtime.block_on(async {
         let gather = async |length| memory.gather(&mut body(length), 1 << 20, None).await;
         assert!(matches!(gather(34 << 20).await, Err(BodyError::TooLong)));
         let mut held = Vec::new();
         for _ in 0..4 {
-            held.push(gather(3 << 20).await.expect("the body is received"));
+            held.push(gather(3 << 20).await.expect("body not received"));
         }
         assert!(held.iter().take(3).all(|gathered| gathered.is_complete));
         let gather_two_chunks = async || {
-            memory.gather(&mut Chunks(vec!["b", "a"]), 1 << 20, None).await.expect("the chunks are received")
+            memory.gather(&mut Chunks(vec!["b", "a"]), 1 << 20, None).await.expect("chunks not received")
         };
         let short = gather_two_chunks().await;
         assert_eq!((&short.bytes[..], short.is_complete), (&b"a"[..], false), "the rest stays in the body");
@@ -62,7 +62,7 @@
 fn one_reservation_overdraws_used_up_memory_and_the_next_waits() {
     let memory = BodyMemory::new(0);
     let limit = memory.limit_bytes();
-    let held = [0; 2].map(|_| memory.try_reserve(limit).expect("half of the limit"));
+    let held = [0; 2].map(|_| memory.try_reserve(limit).expect("half of the limit not reserved"));
     assert!(memory.try_reserve(1).is_none());
     assert!(memory.try_reserve_spare(1).is_none());
     let mut first = std::pin::pin!(memory.reserve(limit));
@@ -88,7 +88,7 @@
 #[test]
 fn spare_reservations_use_only_half_of_the_limit() {
     let memory = BodyMemory::new(0);
-    let _held = memory.try_reserve(memory.limit_bytes() / 2).expect("half");
+    let _held = memory.try_reserve(memory.limit_bytes() / 2).expect("half of the limit not reserved");
     assert!(memory.try_reserve_spare(1).is_none());
     assert!(memory.try_reserve(1).is_some());
 }
