--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,4 +1,4 @@
-//! The position of one source of endpoint lists.
+//! The position of one source in the sequence of list versions.
 
 /// How long a source has to be behind the known version, in seconds, until its version count is considered restarted.
 /// Every change has to take effect at the heads within 6 s, so a source that only lags has caught up by then.
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,20 +1,21 @@
 //! Client of a list source: lists the endpoints and watches them for changes.
 //!
-//! A [`Watcher`] calls one address, at the pace that [`Poller`](crate::discovery::schedule::Poller) sets, and returns
-//! what it receives as [`WatchEvent`]s. It knows no node and keeps no list. It never waits for one call to end before the
-//! next is due: the watch that delivers first becomes the current one, and the calls that began before it are cancelled.
+//! A [`Watcher`] calls one address, at the times that [`Poller`](crate::discovery::schedule::Poller) determines, and
+//! returns the received lists and errors as [`WatchEvent`]s. It does not store nodes or lists. Calls may overlap: a
+//! call starts when it is due, even if earlier calls are still open. The watch that delivers a message first becomes
+//! the current watch, and the calls that started before it are cancelled.
 //!
 //! # Renewed watches
-//! On an agent of the head's own, a new watch is opened at a fixed interval whether the last one delivers or not. So
-//! neither an agent nor a watch that has become silent can keep a change back for longer than that interval.
+//! On a local agent, a new watch is opened at a fixed interval, whether or not the current watch delivers messages.
+//! So a silent agent or a silent watch delays a change by at most that interval once the agent answers again.
 //!
-//! An agent may answer each new watch with a snapshot. One whose first bytes show the version that the current watch
-//! delivered last is not read any further, since the rest of it would be the known list. Such an answer proves that the
-//! agent is alive; the current watch stays current, since there is nothing more to read on the new one. A new watch
-//! whose snapshot has another version is read and becomes the current one.
+//! An agent may answer each new watch with a snapshot. If the first fields of a snapshot contain the version that the
+//! current watch delivered last, the rest of the snapshot is the known list and is skipped. Such a response proves
+//! that the agent is alive. The current watch stays current, since the new one is closed after the skipped snapshot.
+//! A snapshot with another version is read, and its watch becomes the current one.
 //!
-//! Nothing is skipped while the known version is in doubt: after a watch or call that failed, a silent source, an update
-//! that can't be read, or a source that is behind, the next list is read in full first.
+//! Snapshots are not skipped while the content of the known version is uncertain. After a failed watch or call, a
+//! silent source, an update that can't be decoded, or a source that is behind, the next list is read in full.
 
 mod call;
 mod call_set;
@@ -35,15 +36,16 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Most calls of one watcher that have delivered nothing yet. With the current watch, and twice that while discovery
-/// moves to another source, they fit into the descriptors that are reserved for discovery. The oldest call has its whole
-/// time, for a source that is slow; the others are cancelled in turn.
+/// Maximum number of calls of one watcher that have not delivered a message yet. These calls and the current watch
+/// use at most half of the file descriptors reserved for discovery, since two watchers are open while discovery moves
+/// to another source. When the limit is reached, the second oldest call is cancelled; the oldest call is kept until
+/// its timeout, for a source that responds slowly.
 pub const MAX_CALLS_IN_FLIGHT: usize = 6;
 
-/// Why a call or a watch ended, or why its answer can't be used.
+/// Why a call or a watch ended, or why its response can't be used.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// Nothing was received in time.
+    /// Nothing was received within the timeout.
     #[error("silent for {0:?}")]
     Silent(Duration),
     /// The connection failed.
@@ -55,69 +57,69 @@
     /// The request could not be built.
     #[error("request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The source answered 503 and asked to be called again after this time.
-    #[error("busy for {0:?}")]
+    /// The source responded with status 503 and this `Retry-After` delay.
+    #[error("source is overloaded, retry after {0:?}")]
     Busy(Duration),
-    /// The source answered with another status than 200.
+    /// The source responded with a status other than 200.
     #[error("status {0}")]
     Status(StatusCode),
-    /// The answer is no list.
+    /// The response contains data that can't be decoded as a list.
     #[error("{0}")]
     Decode(#[from] DecodeError),
-    /// The answer to a call for the complete list is no snapshot.
-    #[error("list: not complete")]
+    /// The response to a call for the complete list is not a snapshot.
+    #[error("expected a complete list, got changes")]
     NotASnapshot,
-    /// A list began and did not end in time.
+    /// The response ended or timed out within a list, or the list exceeds the size limit.
     #[error("a list that does not end")]
     IncompleteList,
     /// The source closed the watch.
-    #[error("the watch was closed")]
+    #[error("watch closed by the source")]
     Closed,
 }
 
-/// What a call asks a source for.
+/// The request of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceRequest {
-    /// The complete list, once.
+    /// Requests the complete list, once.
     List,
-    /// All changes after this version, for as long as the watch is open.
+    /// Requests all changes after this version, for as long as the watch is open.
     WatchSince(u64),
 }
 
 /// When a list was read from its connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceiveTimes {
-    /// Its first bytes.
+    /// When the first bytes of the list were read.
     pub first_byte: Instant,
-    /// Its last.
+    /// When the last byte of the list was read.
     pub last_byte: Instant,
 }
 
-/// What a watcher has received or noticed.
+/// A message from the source, or a change in the state of a call or of the source.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// A list, which may be a snapshot or changes.
+    /// A list was received: a snapshot, or changes.
     List {
-        /// The list.
+        /// The received list.
         list: CompactList,
-        /// What the call that brought it had asked for.
+        /// The request of the call that delivered the list.
         request: SourceRequest,
-        /// When it was read.
+        /// When the list was read.
         received: ReceiveTimes,
     },
-    /// The source is alive and has nothing new.
+    /// The source is alive, and the list has not changed.
     Heartbeat,
-    /// Something was received that can't be read: what was asked for was not delivered.
+    /// A response contains data that can't be decoded, so an update may have been missed.
     Unreadable(CallError),
-    /// The current watch has ended. Another is opened.
+    /// The current watch has ended. The watcher opens another one.
     WatchLost,
-    /// Nothing was received for this long. Reported once, until something is received again.
+    /// Nothing was received for this long. Returned once until something is received again.
     SourceSilent(Duration),
-    /// A call has ended, of a watcher that leaves retries to its owner.
+    /// A call has ended. Returned only by a watcher without retries.
     CallEnded {
-        /// Whether it had been answered with 200.
+        /// Whether the source had responded with status 200.
         opened: bool,
-        /// Why it ended, unless it had delivered all that it asked for.
+        /// Why the call ended; `None` if it had delivered the complete list that it requested.
         error: Option<CallError>,
     },
 }
--- a/src/discovery/client/call.rs
+++ b/src/discovery/client/call.rs
@@ -1,4 +1,4 @@
-//! One call to a source, from its connection to its end, as a task of its own.
+//! A call to a source, from its connection to its end. Each call runs as a task.
 
 use super::connect::Connect;
 use super::response_reader::ResponseReader;
@@ -17,23 +17,23 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout;
 
-/// What a call reports to its watcher.
+/// A message from a call to its watcher.
 pub(super) enum CallMessage {
-    /// The source is alive and has nothing new.
+    /// The source is alive, and the list has not changed.
     Heartbeat,
-    /// A list, the fingerprint of its text, and when it was read.
+    /// A list was received. Contains the list, the fingerprint of its text, and when it was read.
     List(CompactList, Fingerprint, ReceiveTimes),
-    /// The list of the known fingerprint again.
+    /// A list with the known fingerprint was received again.
     KnownList,
-    /// A snapshot of this version has begun, which is the known one. The rest was not read.
+    /// A snapshot of this version, which is the known one, was not read after its first fields.
     SkippedSnapshot(u64),
-    /// Something that can't be read.
+    /// The response contains data that can't be decoded.
     Unreadable(CallError),
-    /// The call has ended. It is the last message.
+    /// The call has ended. This is its last message.
     Ended { opened: bool, error: Option<CallError> },
 }
 
-/// A message, with the number of the call that it is from.
+/// A message with the number of the call that sent it.
 pub(super) struct NumberedMessage {
     pub(super) number: u64,
     pub(super) message: CallMessage,
@@ -46,9 +46,9 @@
 }
 
 impl CallReporter {
-    /// Waits until the watcher has room for the message.
+    /// Sends a message. Waits while the watcher's channel is full.
     pub(super) async fn send(&self, message: CallMessage) {
-        // A watcher that is dropped has cancelled the call, too: nobody misses the message.
+        // The channel is closed only when the watcher is dropped, which also cancels this call.
         _ = self.sender.send(NumberedMessage { number: self.number, message }).await;
     }
 }
@@ -57,7 +57,7 @@
 pub(super) struct AbortOnDrop(JoinHandle<()>);
 
 impl AbortOnDrop {
-    /// Starts a task. Needs a local task set.
+    /// Spawns a task. Must be called in a `LocalSet`.
     pub(super) fn spawn(task: impl Future<Output = ()> + 'static) -> AbortOnDrop {
         AbortOnDrop(spawn_local(task))
     }
@@ -69,14 +69,14 @@
     }
 }
 
-/// A call whose answer has begun with status 200.
+/// A call whose response has status 200.
 struct OpenCall {
     response: Response<Incoming>,
-    /// Drives the connection.
+    /// The task that drives the connection.
     _connection: AbortOnDrop,
 }
 
-/// Makes a call and reports all that comes of it.
+/// Makes a call, and sends its messages to the watcher until it ends.
 pub(super) async fn run<C: Connect>(
     connector: C,
     address: SocketAddr,
--- a/src/discovery/client/counted.rs
+++ b/src/discovery/client/counted.rs
@@ -1,4 +1,4 @@
-//! TCP connections to list sources, whose traffic is counted.
+//! TCP connections to list sources that count their traffic.
 
 use super::connect::Connect;
 use crate::metrics::counters::Counters;
@@ -10,13 +10,14 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Receive buffer of a connection, in bytes; the system may double it. A snapshot that is skipped after its first bytes
-/// has not been received in full by then. A list of 1.3 MB takes some 40 round trips.
+/// Size of a connection's receive buffer, in bytes; the operating system may double it. A small buffer avoids that a
+/// snapshot which is skipped after its first bytes has been transferred in full. With this size, a list of 1.3 MB takes
+/// about 40 round trips.
 const RECEIVE_BUFFER: u32 = 32 * 1024;
 
-/// Size of a connection's first reads together, in bytes: the head of the answer and the first fields of a list, by which
-/// most snapshots are skipped.
-const FIRST_BYTES: usize = 512;
+/// Number of bytes at the start of a connection that are read without reading further ones, so that most snapshots
+/// can be skipped early: the response header and the first fields of a list.
+const FIRST_READ_BYTES: usize = 512;
 
 /// Counters of the calls to list sources.
 pub trait Traffic: 'static {
@@ -42,7 +43,7 @@
     }
 }
 
-/// Connects over TCP and counts the traffic.
+/// Opens TCP connections that count their traffic.
 pub struct CountedTcp<T>(pub Rc<T>);
 
 impl<T> Clone for CountedTcp<T> {
@@ -60,25 +61,25 @@
         socket.set_recv_buffer_size(RECEIVE_BUFFER)?;
         let stream = socket.connect(address).await?;
         stream.set_nodelay(true)?;
-        Ok(CountedStream { stream, traffic: self.0.clone(), first_bytes_left: FIRST_BYTES })
+        Ok(CountedStream { stream, traffic: self.0.clone(), first_read_remaining: FIRST_READ_BYTES })
     }
 }
 
-/// A connection whose bytes are counted as they are read and written.
+/// A TCP connection that counts the bytes read and written.
 pub struct CountedStream<T> {
     stream: TcpStream,
     traffic: Rc<T>,
-    /// What is left of [`FIRST_BYTES`].
-    first_bytes_left: usize,
+    /// The number of bytes to read until [`FIRST_READ_BYTES`] is reached.
+    first_read_remaining: usize,
 }
 
 impl<T> CountedStream<T> {
-    fn poll_read_first_bytes(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut bytes = [0; FIRST_BYTES];
-        let mut first = ReadBuf::new(&mut bytes[..self.first_bytes_left.min(buf.remaining())]);
+    fn poll_first_read(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let mut bytes = [0; FIRST_READ_BYTES];
+        let mut first = ReadBuf::new(&mut bytes[..self.first_read_remaining.min(buf.remaining())]);
         ready!(Pin::new(&mut self.stream).poll_read(cx, &mut first))?;
         buf.put_slice(first.filled());
-        self.first_bytes_left -= first.filled().len();
+        self.first_read_remaining -= first.filled().len();
         Poll::Ready(Ok(()))
     }
 }
@@ -90,9 +91,9 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        match self.first_bytes_left {
+        match self.first_read_remaining {
             0 => ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?,
-            _ => ready!(self.poll_read_first_bytes(cx, buf))?,
+            _ => ready!(self.poll_first_read(cx, buf))?,
         }
         self.traffic.add_received((buf.filled().len() - before) as u64);
         Poll::Ready(Ok(()))
--- a/src/discovery/client/response_reader.rs
+++ b/src/discovery/client/response_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the answer to a call: lists, heartbeats, and silence.
+//! Reads the response to a call: lists and heartbeats, with timeouts.
 
 use super::call::{CallMessage, CallReporter};
 use super::{CallError, ReceiveTimes, SourceRequest};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The version of a snapshot that need not be read, if there is one at present. Shared by a watcher and its calls.
+/// The version whose snapshots are skipped; `None` if no snapshot may be skipped. Shared by a watcher and its calls.
 #[derive(Clone, Default)]
 pub(super) struct SkippableVersion(Rc<Cell<Option<u64>>>);
 
@@ -27,19 +27,19 @@
     }
 }
 
-/// Reads the body of one answer.
+/// Reads the body of one response.
 pub(super) struct ResponseReader {
     request: SourceRequest,
     timeouts: CallTimeouts,
     decoder: ListDecoder,
     skippable: SkippableVersion,
-    /// Longest time until the next bytes.
+    /// Timeout until the next bytes.
     message_timeout: Duration,
-    /// When the list began that is being received; none between lists.
-    list_began: Option<Instant>,
-    /// The last list was a snapshot.
-    has_snapshot: bool,
-    /// Something was reported: the call may be the current watch, of which nothing is skipped.
+    /// When the first bytes of the incomplete list were received; `None` between lists.
+    list_started_at: Option<Instant>,
+    /// Whether the last list was a snapshot.
+    last_list_is_snapshot: bool,
+    /// Whether a message was reported. The call may then be the current watch, whose lists are not skipped.
     has_reported: bool,
 }
 
@@ -56,8 +56,8 @@
             decoder,
             skippable,
             message_timeout: timeouts.first_message,
-            list_began: None,
-            has_snapshot: false,
+            list_started_at: None,
+            last_list_is_snapshot: false,
             has_reported: false,
         }
     }
@@ -70,11 +70,11 @@
         self.timeouts
     }
 
-    /// Reads to the end of the answer, or to the first bytes of a snapshot that may be skipped.
+    /// Reads the response to its end, or to the first fields of a snapshot that is skipped.
     ///
     /// # Errors
-    /// Fails if the answer ends, or nothing more is received in time, before all that was asked for is there. A watch
-    /// asks for more without end.
+    /// Fails if a call for the complete list ends or times out before the list has been received. Also fails if a watch
+    /// ends or times out: a watch has no regular end.
     pub(super) async fn read(
         mut self,
         response: Response<Incoming>,
@@ -89,12 +89,12 @@
                     reporter.send(CallMessage::SkippedSnapshot(version)).await;
                     return Ok(());
                 }
-                if has_delivered || self.list_began.is_none() {
-                    self.list_began = Some(Instant::now());
+                if has_delivered || self.list_started_at.is_none() {
+                    self.list_started_at = Some(Instant::now());
                 }
                 continue;
             }
-            self.list_began = None;
+            self.list_started_at = None;
             self.message_timeout = self.timeouts.idle;
             // Blank lines are heartbeats.
             if !has_delivered && !data.is_empty() && self.request != SourceRequest::List {
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Waits for the next bytes; none if the answer has ended with all that was asked for.
+    /// Waits for the next bytes. Returns `None` if the response has ended after the requested complete list.
     async fn next_data(
         &self,
         body: &mut Incoming,
@@ -113,36 +113,36 @@
     ) -> Result<Option<Bytes>, CallError> {
         match timeout_at(self.deadline(), body.frame()).await {
             Ok(Some(frame)) => Ok(Some(frame?.into_data().unwrap_or_default())),
-            Ok(None) | Err(_) if self.list_began.is_some() => {
+            Ok(None) | Err(_) if self.list_started_at.is_some() => {
                 reporter.send(CallMessage::Unreadable(CallError::IncompleteList)).await;
                 Err(CallError::IncompleteList)
             }
-            Ok(None) if self.request == SourceRequest::List && self.has_snapshot => Ok(None),
+            Ok(None) if self.request == SourceRequest::List && self.last_list_is_snapshot => Ok(None),
             Ok(None) => Err(CallError::Closed),
             Err(_) => Err(CallError::Silent(self.message_timeout)),
         }
     }
 
-    /// When the next bytes are due at the latest.
+    /// When the read times out.
     fn deadline(&self) -> Instant {
         let silent_at = Instant::now() + self.message_timeout;
-        match self.list_began {
-            // A list that was cut short can't be told from one whose rest is still to come.
-            Some(began) => silent_at.min(began + self.timeouts.call),
+        match self.list_started_at {
+            // A truncated list looks like a list that is still being received, so a list has a time limit.
+            Some(started_at) => silent_at.min(started_at + self.timeouts.call),
             None => silent_at,
         }
     }
 
-    /// Reports the lists that are complete by now; returns whether there was one.
+    /// Reports all complete lists in the buffer. Returns whether there was one.
     async fn report_lists(&mut self, reporter: &CallReporter) -> Result<bool, CallError> {
         let mut has_delivered = false;
         let last_byte = Instant::now();
-        let received = ReceiveTimes { first_byte: self.list_began.unwrap_or(last_byte), last_byte };
+        let received = ReceiveTimes { first_byte: self.list_started_at.unwrap_or(last_byte), last_byte };
         while let Some(decoded) = self.decoder.next_compact() {
             self.has_reported = true;
             match decoded {
                 Ok(Decoded::KnownList) => {
-                    self.has_snapshot = true;
+                    self.last_list_is_snapshot = true;
                     has_delivered = true;
                     reporter.send(CallMessage::KnownList).await;
                 }
@@ -150,7 +150,7 @@
                     return Err(CallError::NotASnapshot);
                 }
                 Ok(Decoded::List(list, fingerprint)) => {
-                    self.has_snapshot = list.is_snapshot;
+                    self.last_list_is_snapshot = list.is_snapshot;
                     has_delivered = true;
                     reporter.send(CallMessage::List(list, fingerprint, received)).await;
                 }
@@ -160,14 +160,14 @@
         Ok(has_delivered)
     }
 
-    /// Reports that a part of the answer can't be read. Fails if nothing after it can be read.
+    /// Reports that a part of the response can't be decoded. Fails if the rest of the response can't be decoded either.
     async fn report_unreadable(&self, error: DecodeError, reporter: &CallReporter) -> Result<(), CallError> {
-        let ends_answer = matches!(error, DecodeError::TooLong { .. });
+        let ends_response = matches!(error, DecodeError::TooLong { .. });
         reporter.send(CallMessage::Unreadable(error.into())).await;
-        if ends_answer { Err(CallError::IncompleteList) } else { Ok(()) }
+        if ends_response { Err(CallError::IncompleteList) } else { Ok(()) }
     }
 
-    /// The version of the snapshot that has begun, if it need not be read.
+    /// The version of the incomplete snapshot, if the snapshot can be skipped.
     fn skippable_version(&self) -> Option<u64> {
         if self.has_reported || self.request == SourceRequest::List {
             return None;
--- a/src/discovery/client/tests.rs
+++ b/src/discovery/client/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the watcher against agents in virtual time: outages, slow responses and lists that arrive in parts.
+//! Tests of the watcher against simulated agents in virtual time: outages, slow responses, and lists in several parts.
 
 mod complete_lists;
 
@@ -15,35 +15,36 @@
 /// Poll interval of a local agent for [`GRACE`].
 const POLL_INTERVAL: Duration = Duration::from_micros(62_500);
 
-/// Simulated outages of each kind.
+/// Number of simulated outages of each kind.
 const SEEDS: u64 = 350;
 
-/// Nodes in a complete list beside the one that drains.
-const OTHERS: usize = 80;
+/// Number of nodes in a complete list, not counting the draining one.
+const OTHER_NODES: usize = 80;
 
 /// How an agent behaves during an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outage {
-    /// Connections open, and calls are never answered.
+    /// Connections open, but calls are never answered.
     NeverAnswers,
-    /// Connections open, and calls are answered at its return.
+    /// Connections open, and calls are answered at the end of the outage.
     AnswersLate,
-    /// No connection opens, not even at its return.
+    /// Connection attempts that start during the outage never complete.
     NeverConnects,
-    /// Watches open, and nothing is ever sent on them.
+    /// Watches open, but no message is ever sent on them.
     OpensIdle,
     /// Connections are refused.
     Refuses,
-    /// Connections open and are closed at the first request.
+    /// Connections open and are closed after the first request.
     Closes,
 }
 
-/// An agent in virtual time that is out of service from `down` to `up`, and then has a draining node, version 2.
+/// A simulated agent with an outage from `down` to `up`. After the outage it reports a draining node with version 2.
 struct Agent {
     outage: Outage,
-    /// Watches from before the outage receive the update at its end, before any call is answered.
+    /// Whether watches from before the outage receive the update at its end, before new calls are answered.
     resumes_old_watches: bool,
-    /// It answers watches with the complete list, longer than the buffer of a connection, in place of the changes.
+    /// Whether the agent answers watches with the complete list, which is longer than the buffer of a connection,
+    /// instead of changes.
     sends_snapshots: bool,
     down: Instant,
     up: Instant,
@@ -52,7 +53,7 @@
     calls: RefCell<Vec<Instant>>,
 }
 
-/// Counts an open connection until it is dropped.
+/// Counts a connection as open until the guard is dropped.
 struct ConnectionGuard(Rc<Agent>);
 
 impl Drop for ConnectionGuard {
@@ -73,18 +74,19 @@
         ConnectionGuard(self.clone())
     }
 
-    /// Serves one connection to its end.
+    /// Serves one connection until it is closed.
     async fn serve(self: Rc<Agent>, mut stream: DuplexStream, _guard: ConnectionGuard) -> io::Result<()> {
-        let mut head = Vec::new();
-        while !head.ends_with(b"\r\n\r\n") {
-            head.push(stream.read_u8().await?);
+        let mut request_header = Vec::new();
+        while !request_header.ends_with(b"\r\n\r\n") {
+            request_header.push(stream.read_u8().await?);
         }
-        let head = String::from_utf8_lossy(&head).into_owned();
-        let since = head.split("since=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
+        let request_header = String::from_utf8_lossy(&request_header).into_owned();
+        let since =
+            request_header.split("since=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
         if self.is_down() {
             match self.outage {
                 Outage::AnswersLate => {
-                    if timeout_at(self.up, closed(&mut stream)).await.is_ok() {
+                    if timeout_at(self.up, wait_until_closed(&mut stream)).await.is_ok() {
                         return Ok(());
                     }
                 }
@@ -93,7 +95,7 @@
                     if outage == Outage::OpensIdle {
                         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
                     }
-                    closed(&mut stream).await;
+                    wait_until_closed(&mut stream).await;
                     return Ok(());
                 }
             }
@@ -105,19 +107,19 @@
             return send_line(&mut stream, "{\"rev\":1,\"all\":true,\"targets\":[]}").await;
         };
         let drain = "{\n\"rev\": 2,\n\"targets\": [{\"uid\": \"s-1\", \"state\": \"draining\"}]}";
-        let drain_snapshot = complete_lists::text_of(OTHERS, 2, "draining");
+        let drain_snapshot = complete_lists::complete_list_with(OTHER_NODES, 2, "draining");
         let drain = if self.sends_snapshots { &drain_snapshot } else { drain };
         let now = if Instant::now() >= self.up { 2 } else { 1 };
         match now > since {
             true => send_line(&mut stream, drain).await?,
             false if self.sends_snapshots => {
-                send_line(&mut stream, &complete_lists::text_of(OTHERS, 1, "ready")).await?
+                send_line(&mut stream, &complete_lists::complete_list_with(OTHER_NODES, 1, "ready")).await?
             }
             false => send_line(&mut stream, &format!("{{\"rev\":{now},\"targets\":[]}}")).await?,
         }
         while Instant::now() < self.down {
             let heartbeat_at = self.down.min(Instant::now() + Duration::from_secs(2));
-            if timeout_at(heartbeat_at, closed(&mut stream)).await.is_ok() {
+            if timeout_at(heartbeat_at, wait_until_closed(&mut stream)).await.is_ok() {
                 return Ok(());
             }
             if Instant::now() < self.down {
@@ -128,13 +130,13 @@
             sleep_until(self.up).await;
             send_line(&mut stream, drain).await?;
         }
-        closed(&mut stream).await;
+        wait_until_closed(&mut stream).await;
         Ok(())
     }
 }
 
-/// Waits until the other side has closed.
-async fn closed(stream: &mut DuplexStream) {
+/// Waits until the peer has closed the connection.
+async fn wait_until_closed(stream: &mut DuplexStream) {
     while stream.read(&mut [0; 64]).await.is_ok_and(|some| some > 0) {}
 }
 
@@ -154,14 +156,14 @@
             Outage::Refuses if self.is_down() => return Err(io::ErrorKind::ConnectionRefused.into()),
             _ => {}
         }
-        let (near, far) = duplex(4096);
+        let (client_stream, server_stream) = duplex(4096);
         let agent = self.clone();
-        spawn_local(async move { _ = agent.serve(far, guard).await });
-        Ok(near)
+        spawn_local(async move { _ = agent.serve(server_stream, guard).await });
+        Ok(client_stream)
     }
 }
 
-/// Returns a generator of random numbers below its argument (xorshift).
+/// Returns a function that generates random numbers below its argument (xorshift).
 fn random_numbers(seed: u64) -> impl FnMut(u64) -> u64 {
     let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
     move |bound| {
@@ -174,14 +176,14 @@
 
 /// Result of one simulated outage.
 struct OutageResult {
-    /// From the agent's return until the head has received the drain.
+    /// Time from the end of the outage until the head has received the drain.
     delay: Duration,
     max_open_connections: usize,
     calls: Vec<Instant>,
 }
 
-/// Simulates an outage of a local agent of 0.1 to 20 s, at any moment of its heartbeat interval. The head starts before the
-/// outage or at any moment of it.
+/// Simulates an outage of a local agent for 0.1 to 20 s, which starts at a random time within the heartbeat interval.
+/// The head starts before the outage or at a random time during it.
 fn simulate(outage: Outage, resumes_old_watches: bool, seed: u64) -> OutageResult {
     simulate_with(outage, resumes_old_watches, false, seed)
 }
@@ -236,9 +238,9 @@
     })
 }
 
-/// An agent is out of service for 0.1 to 20 s and has a draining node at its return, in 2,100 random outages. The head
-/// receives that within one poll interval, a quarter of the grace, and has most of the grace left for requests that it
-/// is about to send.
+/// An agent has an outage of 0.1 to 20 s and reports a draining node after it, in 2,100 random outages. The head
+/// receives the drain within one poll interval, a quarter of the grace period, so that most of the period is left for
+/// requests in progress.
 #[test]
 fn drain_is_received_within_one_poll_interval_after_an_outage() {
     use Outage::*;
@@ -259,10 +261,11 @@
             );
             max_delay = max_delay.max(result.delay);
             total_delay += result.delay;
-            // Calls in any second: an agent that refuses or closes connections is not overloaded.
+            // The number of calls per second is limited, so that an agent that refuses or closes connections is not
+            // overloaded.
             for (n, at) in result.calls.iter().enumerate() {
                 let within =
-                    result.calls[n..].iter().take_while(|c| **c - *at < Duration::from_secs(1)).count();
+                    result.calls[n..].iter().take_while(|call| **call - *at < Duration::from_secs(1)).count();
                 assert!(within <= 17, "{outage:?}, seed {seed}: {within} calls in a second");
             }
         }
@@ -270,8 +273,8 @@
     }
 }
 
-/// Given a watch from before the outage that receives the update seconds before the agent answers any call, then the head
-/// receives it at once.
+/// The head receives an update at once on a watch from before the outage, even if the agent answers new calls only
+/// seconds later.
 #[test]
 fn update_on_a_watch_from_before_the_outage_is_received() {
     for seed in 1..=200 {
@@ -280,70 +283,69 @@
     }
 }
 
-/// Given an agent that takes nearly the call timeout for each response, then a call is kept until its response arrives,
-/// although others begin after it.
+/// A call to an agent that responds just before the call timeout is not cancelled when later calls start.
 #[test]
 fn response_of_a_slow_agent_is_received() {
     #[derive(Clone)]
-    struct Slow;
-    impl Connect for Slow {
+    struct SlowAgent;
+    impl Connect for SlowAgent {
         type Stream = DuplexStream;
         async fn connect(&self, _: SocketAddr) -> io::Result<DuplexStream> {
             sleep(Duration::from_millis(900)).await;
-            let (near, mut far) = duplex(4096);
+            let (client_stream, mut server_stream) = duplex(4096);
             spawn_local(async move {
-                _ = far.read(&mut [0; 1024]).await;
-                _ = far.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-                _ = send_line(&mut far, "{\"rev\":2,\"targets\":[]}").await;
-                while far.read(&mut [0; 64]).await.is_ok_and(|some| some > 0) {}
+                _ = server_stream.read(&mut [0; 1024]).await;
+                _ = server_stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
+                _ = send_line(&mut server_stream, "{\"rev\":2,\"targets\":[]}").await;
+                while server_stream.read(&mut [0; 64]).await.is_ok_and(|some| some > 0) {}
             });
-            Ok(near)
+            Ok(client_stream)
         }
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let started_at = Instant::now();
-        let mut watcher = Watcher::new(Slow, ([127, 0, 0, 1], 1).into(), &schedule);
+        let mut watcher = Watcher::new(SlowAgent, ([127, 0, 0, 1], 1).into(), &schedule);
         let event = watcher.next_event(|| SourceRequest::WatchSince(1)).await;
         assert!(matches!(&event, WatchEvent::List { list, .. } if list.version == 2), "{event:?}");
         assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
     });
 }
 
-/// Given a complete list whose response begins with a blank line and ends some time after the list itself, when the list
-/// has been received, then a watch is opened, also on a shared server, where no other call would be made.
+/// A watch is opened after a complete list has been received, even if its response begins with a blank line and ends
+/// some time after the list. On a shared server no other call would follow if the end of this one were missed.
 #[test]
 fn watch_is_opened_after_a_complete_list_in_pieces() {
     #[derive(Clone)]
-    struct Pieces;
-    impl Connect for Pieces {
+    struct ListInPieces;
+    impl Connect for ListInPieces {
         type Stream = DuplexStream;
         async fn connect(&self, _: SocketAddr) -> io::Result<DuplexStream> {
-            let (near, mut far) = duplex(4096);
+            let (client_stream, mut server_stream) = duplex(4096);
             spawn_local(async move {
-                let mut head = [0; 1024];
-                let length = far.read(&mut head).await.unwrap_or(0);
-                let watch = String::from_utf8_lossy(&head[..length]).contains("follow=1");
-                _ = far.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
+                let mut request = [0; 1024];
+                let length = server_stream.read(&mut request).await.unwrap_or(0);
+                let watch = String::from_utf8_lossy(&request[..length]).contains("follow=1");
+                _ = server_stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
                 if watch {
-                    _ = send_line(&mut far, "{\"rev\":2,\"targets\":[]}").await;
-                    return closed(&mut far).await;
+                    _ = send_line(&mut server_stream, "{\"rev\":2,\"targets\":[]}").await;
+                    return wait_until_closed(&mut server_stream).await;
                 }
                 for text in ["", "{\"rev\":1,\"all\":true,\"targets\":[]}", ""] {
-                    _ = send_line(&mut far, text).await;
+                    _ = send_line(&mut server_stream, text).await;
                     sleep(Duration::from_millis(30)).await;
                 }
-                _ = far.write_all(b"0\r\n\r\n").await;
+                _ = server_stream.write_all(b"0\r\n\r\n").await;
             });
-            Ok(near)
+            Ok(client_stream)
         }
     }
     for kind in [SourceKind::SharedServer, SourceKind::LocalAgent] {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
             let schedule = PollSchedule::new(1, 1, kind, GRACE);
-            let mut watcher = Watcher::new(Pieces, ([127, 0, 0, 1], 1).into(), &schedule);
+            let mut watcher = Watcher::new(ListInPieces, ([127, 0, 0, 1], 1).into(), &schedule);
             let mut version = 0;
             let started_at = Instant::now();
             while version < 2 {
--- a/src/discovery/client/tests/complete_lists.rs
+++ b/src/discovery/client/tests/complete_lists.rs
@@ -1,35 +1,35 @@
-//! Agents that answer each renewed watch with the complete list: a list of the known version is skipped after its first
-//! bytes, and no update is lost or delayed by that.
+//! Tests of agents that answer each renewed watch with the complete list: a list of the known version is skipped
+//! after its first fields, and no update is lost or delayed because of that.
 
 use super::*;
 use crate::discovery::client::call::CallMessage;
 
-/// Calls after which a test ends.
+/// Number of calls after which a test ends.
 const RENEWALS: usize = 24;
 
-/// A complete list of four hundred nodes and `s-1`: longer than the buffers of a connection and its reader.
-fn text(rev: u64, state: &str) -> String {
-    text_of(400, rev, state)
+/// A complete list of 400 nodes and `s-1`, which is longer than the buffers of a connection and its reader.
+fn complete_list(rev: u64, state: &str) -> String {
+    complete_list_with(400, rev, state)
 }
 
-/// A complete list of `others` nodes and `s-1`.
-pub(super) fn text_of(others: usize, rev: u64, state: &str) -> String {
+/// A complete list of `other_nodes` nodes and `s-1`.
+pub(super) fn complete_list_with(other_nodes: usize, rev: u64, state: &str) -> String {
     let other = |n: usize| format!(r#"{{"uid":"s-1{n:07x}","endpoint":"127.0.0.1:80","state":"ready"}}"#);
-    let others: Vec<String> = (0..others).map(other).collect();
+    let other_nodes: Vec<String> = (0..other_nodes).map(other).collect();
     let first = format!(r#"{{"uid":"s-1","endpoint":"127.0.0.1:80","state":"{state}"}}"#);
-    format!("{{\"rev\":{rev},\"all\":true,\"targets\":[{first},{}]}}", others.join(","))
+    format!("{{\"rev\":{rev},\"all\":true,\"targets\":[{first},{}]}}", other_nodes.join(","))
 }
 
-/// What an agent does on one call.
+/// One step of an agent in the response to a call.
 #[derive(Clone)]
 enum Step {
-    /// Writes a part of a list, without a line end.
+    /// Writes a part of a list, without a line break after it.
     Write(String),
-    /// Waits.
+    /// Waits for this duration.
     Pause(Duration),
-    /// Waits until a moment.
+    /// Waits until this time.
     Until(Instant),
-    /// Waits until the other side has closed.
+    /// Waits until the peer has closed the connection.
     Hold,
     /// Refuses the connection.
     Refuse,
@@ -37,24 +37,24 @@
 
 use Step::*;
 
-/// An agent whose response to each call is scripted by the call's number, from 0.
+/// An agent whose response to each call is defined by the number of the call, from 0.
 #[derive(Clone)]
-struct Scripted {
+struct ScriptedAgent {
     script: Rc<dyn Fn(usize) -> Vec<Step>>,
     calls: Rc<Cell<usize>>,
-    /// Bytes of lists that the connections accepted.
+    /// Number of bytes of lists that were written to connections.
     written: Rc<Cell<usize>>,
 }
 
-impl Scripted {
-    fn new(script: impl Fn(usize) -> Vec<Step> + 'static) -> Scripted {
-        Scripted { script: Rc::new(script), calls: Rc::default(), written: Rc::default() }
+impl ScriptedAgent {
+    fn new(script: impl Fn(usize) -> Vec<Step> + 'static) -> ScriptedAgent {
+        ScriptedAgent { script: Rc::new(script), calls: Rc::default(), written: Rc::default() }
     }
 
     async fn serve(self, mut stream: DuplexStream, steps: Vec<Step>) -> io::Result<()> {
-        let mut head = Vec::new();
-        while !head.ends_with(b"\r\n\r\n") {
-            head.push(stream.read_u8().await?);
+        let mut request_header = Vec::new();
+        while !request_header.ends_with(b"\r\n\r\n") {
+            request_header.push(stream.read_u8().await?);
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         for step in steps {
@@ -66,7 +66,7 @@
                 }
                 Pause(duration) => sleep(duration).await,
                 Until(at) => sleep_until(at).await,
-                Hold => closed(&mut stream).await,
+                Hold => wait_until_closed(&mut stream).await,
                 Refuse => return Ok(()),
             }
         }
@@ -74,7 +74,7 @@
     }
 }
 
-impl Connect for Scripted {
+impl Connect for ScriptedAgent {
     type Stream = DuplexStream;
 
     async fn connect(&self, _: SocketAddr) -> io::Result<DuplexStream> {
@@ -82,27 +82,30 @@
         if matches!(steps.first(), Some(Refuse)) {
             return Err(io::ErrorKind::ConnectionRefused.into());
         }
-        let (near, far) = duplex(4096);
+        let (client_stream, server_stream) = duplex(4096);
         let agent = self.clone();
-        spawn_local(async move { _ = agent.serve(far, steps).await });
-        Ok(near)
+        spawn_local(async move { _ = agent.serve(server_stream, steps).await });
+        Ok(client_stream)
     }
 }
 
-/// Runs a test in virtual time.
+/// Runs a test on a runtime with virtual time.
 fn in_virtual_time<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async { test().await });
 }
 
-/// The versions of the lists that are received until `until` returns true, each with its state of `s-1`.
-async fn lists_until(watcher: &mut Watcher<'_, Scripted>, until: impl Fn() -> bool) -> Vec<(u64, NodeState)> {
+/// Receives lists until `until` returns true. Returns the version of each list and its state of `s-1`.
+async fn lists_until(
+    watcher: &mut Watcher<'_, ScriptedAgent>,
+    until: impl Fn() -> bool,
+) -> Vec<(u64, NodeState)> {
     let mut lists = vec![];
     while !until() {
         match timeout(Duration::from_secs(5), watcher.next_event(|| SourceRequest::WatchSince(1))).await {
             Ok(WatchEvent::List { list, .. }) => {
                 let first = list.entries().find(|entry| entry.name == "s-1");
-                lists.push((list.version, first.expect("it names s-1").state));
+                lists.push((list.version, first.expect("the list contains s-1").state));
             }
             Ok(WatchEvent::WatchLost) => panic!("the current watch was lost"),
             Ok(_) => {}
@@ -115,8 +118,8 @@
 use flaxgap_membership::list::NodeState;
 use tokio::time::timeout;
 
-/// The outages of the parent module's test, with an agent that answers each watch with the complete list: the drain at its
-/// return is received as early.
+/// Repeats the outages of the parent module's test with an agent that answers each watch with the complete list. The
+/// drain after the outage is received within the same time.
 #[test]
 fn drain_in_a_complete_list_is_received_within_one_poll_interval_after_an_outage() {
     use Outage::*;
@@ -143,20 +146,25 @@
     }
 }
 
-/// Given renewed watches that begin with the known version and stall at any of their first 200 bytes, then they are skipped,
-/// the first watch stays the current one, and its update is received at once.
+/// Renewed watches that begin with the known version and stall at any of their first 200 bytes are skipped. The first
+/// watch stays current, and its update is received at once.
 #[test]
 fn renewed_watch_with_the_known_version_is_skipped() {
     let header_length = r#"{"rev":1,"all":true,"#.len();
     for cut in (header_length..200).chain([4000]) {
         in_virtual_time(|| async move {
             let update_at = Instant::now() + Duration::from_millis(1500);
-            let agent = Scripted::new(move |number| match number {
-                0 => vec![Write(text(1, "ready")), Until(update_at), Write(text(2, "draining")), Hold],
+            let agent = ScriptedAgent::new(move |number| match number {
+                0 => vec![
+                    Write(complete_list(1, "ready")),
+                    Until(update_at),
+                    Write(complete_list(2, "draining")),
+                    Hold,
+                ],
                 _ => vec![
-                    Write(text(1, "ready")[..header_length.min(cut) - 3].into()),
+                    Write(complete_list(1, "ready")[..header_length.min(cut) - 3].into()),
                     Pause(Duration::from_millis(5)),
-                    Write(text(1, "ready")[header_length - 3..cut].into()),
+                    Write(complete_list(1, "ready")[header_length - 3..cut].into()),
                     Hold,
                 ],
             });
@@ -167,17 +175,17 @@
             assert_eq!(lists, [(1, NodeState::Ready), (2, NodeState::Draining)], "cut at {cut}");
             assert!(Instant::now() - update_at < Duration::from_millis(1), "cut at {cut}");
             assert!(calls.get() >= 23, "{} renewals", calls.get());
-            assert!(agent.written.get() < 3 * text(1, "ready").len() + calls.get() * cut);
+            assert!(agent.written.get() < 3 * complete_list(1, "ready").len() + calls.get() * cut);
         });
     }
 }
 
-/// Given renewed watches that send the known list in full for seconds, then no more of each is received than the
-/// connection's buffer holds, and each counts as a heartbeat.
+/// Renewed watches on which the agent would send the known list in full are closed before the list has been
+/// transferred, and each counts as a heartbeat.
 #[test]
 fn skipped_list_is_not_transferred_and_counts_as_a_heartbeat() {
     in_virtual_time(|| async {
-        let agent = Scripted::new(|_| vec![Write(text(1, "ready")), Hold]);
+        let agent = ScriptedAgent::new(|_| vec![Write(complete_list(1, "ready")), Hold]);
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let (mut lists, mut heartbeats) = (0, 0);
@@ -190,28 +198,37 @@
             }
         }
         assert_eq!((lists, agent.calls.get()), (1, heartbeats + lists));
-        // No renewed watch transferred the known list to its end.
-        assert_eq!(agent.written.get(), text(1, "ready").len());
+        // No renewed watch has transferred the whole list.
+        assert_eq!(agent.written.get(), complete_list(1, "ready").len());
     });
 }
 
-/// Given a renewed watch that begins with another version and pauses at any of its first 200 bytes, then it is read and
-/// becomes the current watch: its later update is received.
+/// A renewed watch that begins with another version and pauses at any of its first 200 bytes is read and becomes the
+/// current watch, so that its later update is received.
 #[test]
 fn renewed_watch_with_another_version_is_read() {
     for (version, cut) in (0..200).map(|cut| (2, cut)).chain((0..200).map(|cut| (11, cut))) {
         in_virtual_time(|| async move {
-            let agent = Scripted::new(move |number| {
-                let (first, rest) =
-                    (text(version, "draining")[..cut].into(), text(version, "draining")[cut..].into());
+            let agent = ScriptedAgent::new(move |number| {
+                let (first, rest) = (
+                    complete_list(version, "draining")[..cut].into(),
+                    complete_list(version, "draining")[cut..].into(),
+                );
                 match number {
-                    0..8 => vec![Write(text(1, "ready")), Hold],
+                    0..8 => vec![Write(complete_list(1, "ready")), Hold],
                     8 => {
                         let pause = Pause(Duration::from_millis(20));
                         let later = Pause(Duration::from_millis(200));
-                        vec![Write(first), pause, Write(rest), later, Write(text(version + 1, "ready")), Hold]
+                        vec![
+                            Write(first),
+                            pause,
+                            Write(rest),
+                            later,
+                            Write(complete_list(version + 1, "ready")),
+                            Hold,
+                        ]
                     }
-                    _ => vec![Write(text(version, "draining")), Hold],
+                    _ => vec![Write(complete_list(version, "draining")), Hold],
                 }
             });
             let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
@@ -225,34 +242,35 @@
     }
 }
 
-/// Given a version that is used again with other content, since its source has restarted its numbering, when the version
-/// is in doubt for any reason, then the list is read: it is received by the next renewed watch but one.
+/// A source that has restarted its version count may reuse a version for other content. After a failure of a watch or
+/// call, the next list of the known version is read: the other content is received by the second renewed watch at the
+/// latest.
 #[test]
-fn list_of_a_version_in_doubt_is_read_again() {
-    let ready = || text(1, "ready");
-    let other = || vec![Write(text(1, "draining")), Hold];
-    // Responses before the other list; the first of them is the current watch.
+fn list_of_an_uncertain_version_is_read_again() {
+    let ready = || complete_list(1, "ready");
+    let other = || vec![Write(complete_list(1, "draining")), Hold];
+    // Responses before the list with other content; the first one is the current watch.
     let closes: fn(usize) -> Vec<Step> = |number| match number {
-        0 => vec![Write(text(1, "ready")), Pause(Duration::from_millis(300))],
-        _ => vec![Write(text(1, "ready")), Hold],
+        0 => vec![Write(complete_list(1, "ready")), Pause(Duration::from_millis(300))],
+        _ => vec![Write(complete_list(1, "ready")), Hold],
     };
     let refuses: fn(usize) -> Vec<Step> = |number| match number {
         5 => vec![Refuse],
-        _ => vec![Write(text(1, "ready")), Hold],
+        _ => vec![Write(complete_list(1, "ready")), Hold],
     };
     let breaks: fn(usize) -> Vec<Step> = |number| match number {
         5 => vec![Write("no list\n".into()), Hold],
-        _ => vec![Write(text(1, "ready")), Hold],
+        _ => vec![Write(complete_list(1, "ready")), Hold],
     };
     let stalls: fn(usize) -> Vec<Step> = |number| match number {
-        0..5 => vec![Write(text(1, "ready")), Hold],
+        0..5 => vec![Write(complete_list(1, "ready")), Hold],
         _ => vec![Hold],
     };
     for (case, script, changes_at) in
         [("closes", closes, 4), ("refuses", refuses, 6), ("breaks", breaks, 6), ("stalls", stalls, 25)]
     {
         in_virtual_time(|| async move {
-            let agent = Scripted::new(move |number| match number < changes_at {
+            let agent = ScriptedAgent::new(move |number| match number < changes_at {
                 true => script(number),
                 false => other(),
             });
@@ -269,9 +287,9 @@
             assert_eq!(states, [NodeState::Ready, NodeState::Draining], "{case}");
         });
     }
-    // The lists of a source that is behind the known list are read in full each time.
+    // Every list from a source that is behind the known version is read in full.
     in_virtual_time(|| async move {
-        let agent = Scripted::new(move |_| vec![Write(ready()), Hold]);
+        let agent = ScriptedAgent::new(move |_| vec![Write(ready()), Hold]);
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let mut lists = 0;
@@ -286,16 +304,16 @@
     });
 }
 
-/// Where watches are not renewed, a list of the known version comes on the only watch there is: it is read in full.
+/// If watches are not renewed, there is only one watch at a time, so a list of the known version is read in full.
 #[test]
 fn list_of_a_shared_server_is_never_skipped() {
     in_virtual_time(|| async {
-        let agent = Scripted::new(|number| match number {
-            0 => vec![Write(text(1, "ready")), Pause(Duration::from_millis(300))],
+        let agent = ScriptedAgent::new(|number| match number {
+            0 => vec![Write(complete_list(1, "ready")), Pause(Duration::from_millis(300))],
             _ => vec![
-                Write(text(1, "ready")),
+                Write(complete_list(1, "ready")),
                 Pause(Duration::from_millis(300)),
-                Write(text(2, "draining")),
+                Write(complete_list(2, "draining")),
                 Hold,
             ],
         });
@@ -311,17 +329,18 @@
     });
 }
 
-/// Given a watch that became the current one by a heartbeat, when it goes on with a list of the known version, then it is
-/// read on: a skipped watch could not deliver later updates.
+/// A list of the known version on a watch that has become the current one by a heartbeat is read in full: the watch
+/// would otherwise be closed and could not deliver later updates.
 #[test]
 fn current_watch_is_never_skipped() {
     in_virtual_time(|| async {
-        let agent = Scripted::new(|number| match number {
-            0 => vec![Write(text(1, "ready")), Hold],
+        let agent = ScriptedAgent::new(|number| match number {
+            0 => vec![Write(complete_list(1, "ready")), Hold],
             1 => {
-                let (first, rest) = (text(1, "ready")[..100].into(), text(1, "ready")[100..].into());
+                let (first, rest) =
+                    (complete_list(1, "ready")[..100].into(), complete_list(1, "ready")[100..].into());
                 let pause = Pause(Duration::from_millis(10));
-                let update = Write(text(2, "draining"));
+                let update = Write(complete_list(2, "draining"));
                 vec![Write("\n".into()), pause.clone(), Write(first), pause, Write(rest), update, Hold]
             }
             _ => vec![Hold],
@@ -334,12 +353,11 @@
     });
 }
 
-/// Given a list that was skipped, when its version came into doubt before that message is handled, then it does not count
-/// as a heartbeat.
+/// A skipped list does not count as a heartbeat if its version has become uncertain before the message is handled.
 #[test]
-fn skipped_list_of_a_version_in_doubt_is_no_heartbeat() {
+fn skipped_list_of_an_uncertain_version_is_no_heartbeat() {
     in_virtual_time(|| async {
-        let agent = Scripted::new(|_| vec![Hold]);
+        let agent = ScriptedAgent::new(|_| vec![Hold]);
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent, ([127, 0, 0, 1], 1).into(), &schedule);
         for (skippable, is_heartbeat) in [(Some(7), true), (Some(8), false), (None, false)] {
@@ -350,13 +368,18 @@
     });
 }
 
-/// Given a relist after an update was lost, when its response has the known version, then it is read in full all the same.
+/// The response to a relist after a lost update is read in full, even if it has the known version.
 #[test]
 fn relist_is_never_skipped() {
     in_virtual_time(|| async {
-        let agent = Scripted::new(|number| match number {
-            3 => vec![Write(text(1, "draining")), Pause(Duration::from_millis(1)), Write("\n".into()), Hold],
-            _ => vec![Write(text(1, "ready")), Hold],
+        let agent = ScriptedAgent::new(|number| match number {
+            3 => vec![
+                Write(complete_list(1, "draining")),
+                Pause(Duration::from_millis(1)),
+                Write("\n".into()),
+                Hold,
+            ],
+            _ => vec![Write(complete_list(1, "ready")), Hold],
         });
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
@@ -373,12 +396,12 @@
     });
 }
 
-/// Given a list that was received by a relist, when watches answer with the same list, then the first of them is read in
-/// full and becomes the current watch, before others are skipped.
+/// After a relist, the first watch that delivers the same list is read in full and becomes the current watch, before
+/// lists of other watches are skipped.
 #[test]
 fn watch_is_current_before_any_list_is_skipped() {
     in_virtual_time(|| async {
-        let agent = Scripted::new(|_| vec![Write(text(1, "ready")), Write("\n".into()), Hold]);
+        let agent = ScriptedAgent::new(|_| vec![Write(complete_list(1, "ready")), Write("\n".into()), Hold]);
         let schedule = PollSchedule::new(1, 1, SourceKind::LocalAgent, GRACE);
         let mut watcher = Watcher::new(agent.clone(), ([127, 0, 0, 1], 1).into(), &schedule);
         let calls = agent.calls.clone();
--- a/src/discovery/client/watcher.rs
+++ b/src/discovery/client/watcher.rs
@@ -1,4 +1,4 @@
-//! Lists and watches one address.
+//! Lists and watches the endpoints at one address.
 
 use super::call::{self, AbortOnDrop, CallMessage, CallReporter, NumberedMessage};
 use super::call_set::CallSet;
@@ -14,17 +14,17 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Messages of calls that wait to be handled. Calls stop reading while there are so many.
+/// Capacity of the channel for messages from calls. Calls stop reading while the channel is full.
 const MESSAGE_CAPACITY: usize = 8;
 
-/// Who makes another call after one has ended.
+/// Whether the watcher or its owner makes another call after one has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Retries {
     ByWatcher,
     ByOwner,
 }
 
-/// The last list that was delivered.
+/// Identifies the list that the source delivered last.
 #[derive(Clone, Copy)]
 struct KnownList {
     fingerprint: Fingerprint,
@@ -32,11 +32,11 @@
     is_snapshot: bool,
 }
 
-/// When the source was last heard, and what was reported about it since.
+/// When the last message from the source was received, and which problems were reported since.
 struct Liveness {
     last_message: Instant,
     is_silent: bool,
-    /// A failed call was logged as a warning since.
+    /// Whether a failed call has been logged as a warning since the last message.
     failure_logged: bool,
 }
 
@@ -45,7 +45,7 @@
         Liveness { last_message: Instant::now(), is_silent: false, failure_logged: false }
     }
 
-    /// When the source counts as silent; none if it does already.
+    /// When the source becomes silent; `None` if it is already silent.
     fn silent_at(&self, timeout: Duration) -> Option<Instant> {
         (!self.is_silent).then(|| self.last_message + timeout)
     }
@@ -57,7 +57,7 @@
         *self = Liveness::new();
     }
 
-    /// Logs a failed call: the first since the source was last heard as a warning.
+    /// Logs a failed call: as a warning for the first one since the last message, otherwise at debug level.
     fn on_failure(&mut self, address: SocketAddr, was_watch: bool, error: &CallError) {
         let level = if self.failure_logged { log::Level::Debug } else { log::Level::Warn };
         let ended = if was_watch { "watch" } else { "call" };
@@ -66,13 +66,13 @@
     }
 }
 
-/// Lists and watches one address. See the [module documentation](super).
+/// Lists and watches the endpoints at one address. See the [module documentation](super).
 pub struct Watcher<'a, C> {
     connector: C,
     address: SocketAddr,
     poller: Poller<'a>,
     retries: Retries,
-    /// When the next call begins; none while that depends on how an open call ends.
+    /// When the next call starts; `None` while that depends on how an open call ends.
     next_call_at: Option<Instant>,
     pub(super) calls: CallSet,
     sender: mpsc::Sender<NumberedMessage>,
@@ -101,40 +101,41 @@
         }
     }
 
-    /// Creates a watcher that makes its first call at once, and leaves it to its owner what to do once a call has ended.
+    /// Creates a watcher that makes its first call at once, and makes no further call after one has ended unless its
+    /// owner schedules one.
     pub fn without_retries(connector: C, address: SocketAddr, schedule: &'a PollSchedule) -> Watcher<'a, C> {
         Watcher { retries: Retries::ByOwner, ..Watcher::new(connector, address, schedule) }
     }
 
-    /// Schedules a call although a watch may be open.
+    /// Schedules a call soon, even if a watch is open.
     pub fn schedule_call_soon(&mut self) {
         let at = Instant::now() + self.poller.early_call_delay();
         self.next_call_at = Some(self.next_call_at.map_or(at, |scheduled| scheduled.min(at)));
     }
 
-    /// If no call is open, schedules the next one as after a first failure, for an owner that can't wait for as long as
-    /// the backoff after many failures is.
+    /// If no call is open, schedules the next one with the first delay of the backoff, for an owner that can't wait
+    /// for the long delay after many failures.
     pub fn restart_backoff(&mut self) {
         if self.calls.is_empty() {
             self.schedule_after(CallEnd::Broken);
         }
     }
 
-    /// Forgets the known list, so that it is read in full and delivered again if it is received again. To be called while
-    /// the versions of the source are in doubt.
+    /// Forgets the known list, so that the same list is read in full and returned again. To be called while the
+    /// content of the known version is uncertain.
     pub fn forget_known_list(&mut self) {
         self.known = None;
         self.skippable.set(None);
     }
 
-    /// Waits for the next event, and makes the calls that fall due meanwhile. `next_request` says what a call asks for.
-    /// Cancel-safe: no event is lost if the future is dropped.
+    /// Waits for the next event, and makes the calls that become due meanwhile. `next_request` returns the request of
+    /// the call that is about to start. Cancel-safe: no event is lost if the future is dropped.
     pub async fn next_event(&mut self, mut next_request: impl FnMut() -> SourceRequest) -> WatchEvent {
         loop {
             let silent_at = self.liveness.silent_at(self.poller.idle_timeout());
             tokio::select! {
                 biased;
-                // The channel never closes: the watcher has a sender of its own.
+                // `self` owns a sender, so the channel never closes.
                 Some(NumberedMessage { number, message }) = self.messages.recv() => {
                     if let Some(event) = self.on_message(number, message) {
                         return event;
@@ -189,14 +190,14 @@
         }
     }
 
-    /// The source is alive, and this call has delivered something. Returns what the call asked for.
+    /// Records a message from a call. Returns the request of the call; `None` if it has been cancelled.
     fn on_delivered(&mut self, number: u64) -> Option<SourceRequest> {
         self.liveness.on_message(self.address);
         self.calls.on_delivered(number)
     }
 
-    /// A list was received. One that a call had already read when it was cancelled, since a later one delivered first, has
-    /// nothing to add unless it is newer.
+    /// Handles a list. A call may have read the list before it was cancelled because a later call delivered a message
+    /// first. Such a list is ignored unless it is newer than the known one.
     fn on_list(
         &mut self,
         number: u64,
@@ -204,7 +205,7 @@
         fingerprint: Fingerprint,
         received: ReceiveTimes,
     ) -> WatchEvent {
-        // Calls that overlap deliver the same list.
+        // Overlapping calls may deliver the same list.
         if self.known.is_some_and(|known| known.fingerprint == fingerprint) {
             return self.on_known_list(number);
         }
@@ -221,17 +222,17 @@
         WatchEvent::List { list, request, received }
     }
 
-    /// The known list was received again, in full.
+    /// Handles the known list, received again in full.
     fn on_known_list(&mut self, number: u64) -> WatchEvent {
         self.on_delivered(number);
         self.update_skippable(number);
         WatchEvent::Heartbeat
     }
 
-    /// A new watch began with the known version and was not read further: the current watch stays current.
+    /// Handles a new watch that was closed since it began with a snapshot of the known version.
     fn on_skipped_snapshot(&mut self, number: u64, version: u64) -> Option<WatchEvent> {
         if self.skippable.get() != Some(version) {
-            // The version has come into doubt since, so that the answer proves nothing. The next one is read in full.
+            // The content of this version has become uncertain since. The next list is read in full.
             return None;
         }
         self.liveness.on_message(self.address);
@@ -239,8 +240,8 @@
         Some(WatchEvent::Heartbeat)
     }
 
-    /// Snapshots of the known list's version may be skipped if the current watch has delivered that list in full. Where
-    /// watches are not renewed, each answer is the only one and has to be read.
+    /// Allows snapshots of the known version to be skipped if the current watch has delivered that list in full. If
+    /// watches are not renewed, there is only one watch at a time, and its snapshots must be read.
     fn update_skippable(&mut self, number: u64) {
         let may_skip = self.calls.is_current_watch(number) && self.poller.renews_watches();
         let snapshot = self.known.filter(|known| known.is_snapshot && may_skip);
@@ -262,7 +263,7 @@
         was_watch.then_some(WatchEvent::WatchLost)
     }
 
-    /// Schedules the next call, if its time depends on how this one ended.
+    /// Schedules the next call after one has ended, if its time depends on how that call ended.
     fn schedule_after(&mut self, end: CallEnd) {
         if let Some(delay) = self.poller.on_call_ended(end) {
             self.next_call_at = Some(Instant::now() + delay);
@@ -270,12 +271,12 @@
     }
 }
 
-/// What a call that is no longer known may have asked for, by what it brought.
+/// Derives the request of a cancelled call from the list that it delivered.
 fn request_for(list: &CompactList) -> SourceRequest {
     if list.is_snapshot { SourceRequest::List } else { SourceRequest::WatchSince(0) }
 }
 
-/// How a call's end counts for the time of the next one.
+/// Classifies the end of a call for the schedule of the next one.
 fn call_end(opened: bool, error: Option<&CallError>) -> CallEnd {
     match error {
         None => CallEnd::Completed,
@@ -285,7 +286,7 @@
     }
 }
 
-/// Sleeps until this time; for ever if there is none.
+/// Sleeps until `at`, or forever if it is `None`.
 async fn sleep_until_some(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -1,4 +1,5 @@
-//! The endpoint directory: which nodes this head may use, as the sources of the list and the operators have it.
+//! The endpoint directory: which nodes this head may use, according to the endpoint lists and the operators'
+//! exclusions.
 
 use crate::core::{Clock, Dispatcher};
 use crate::discovery::client::CountedTcp;
@@ -19,35 +20,35 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Most unreadable entries of one list that are logged one by one: a list may have thousands.
+/// Maximum number of unreadable entries of one list that are logged individually: a list may have thousands.
 const MAX_LOGGED_ENTRIES: usize = 8;
 
-/// Called with the newest version each time that a list is in force.
+/// Function that is called with the newest version after each list.
 type Observer = Box<dyn Fn(u64)>;
 
-/// Owns the membership, and keeps the scheduler's endpoints and the transport's addresses in step with it and with the
-/// operators' exclusions.
+/// Owns the membership, and updates the scheduler's endpoints and the transport's addresses when the membership or the
+/// operators' exclusions change.
 pub struct EndpointDirectory {
     dispatcher: Rc<Dispatcher>,
     transport: Rc<NodeTransport>,
     counters: Rc<Counters>,
     exclusions: Rc<Exclusions>,
-    /// The nodes as the lists have them, without the exclusions.
+    /// The nodes according to the lists, without the operators' exclusions.
     membership: RefCell<Membership>,
-    /// Becomes true with the first list of a source. A cached list doesn't count.
+    /// Becomes true after the first list from a source. A cached list does not change it.
     has_synced: watch::Sender<bool>,
     schedule: PollSchedule,
     /// When a list last changed the endpoints.
     last_change: Cell<Instant>,
-    /// When a source was last heard.
+    /// When the last message from a source was received.
     last_message: Cell<Instant>,
-    /// How many relays are reachable; none if the head follows no relays.
+    /// The number of reachable relays; `None` if the head follows no relays.
     relays_reachable: Cell<Option<usize>>,
     observer: RefCell<Option<Observer>>,
 }
 
 impl EndpointDirectory {
-    /// Creates a directory without nodes. `zones` are the zones' names in the order of the settings.
+    /// Creates a directory without nodes. `zones` contains the names of the zones in the order of the settings.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         transport: Rc<NodeTransport>,
@@ -71,13 +72,13 @@
         })
     }
 
-    /// Sets the function that is called with the newest version whenever a list is in force, that is, once scheduler and
-    /// transport know of it.
+    /// Sets the function that is called with the newest version after each list, once the scheduler and the transport
+    /// have been updated.
     pub fn observe(&self, observer: impl Fn(u64) + 'static) {
         self.observer.replace(Some(Box::new(observer)));
     }
 
-    /// The list in force has another version and the same nodes.
+    /// Publishes a new version of the list whose nodes have not changed.
     fn notify_version(&self) {
         self.transport.set_list_version(self.version());
         self.notify_observer();
@@ -89,24 +90,24 @@
         }
     }
 
-    /// Waits until a list of a source has been applied; a cached list doesn't count.
+    /// Waits until a list from a source has been applied. A cached list is not sufficient.
     pub async fn synced(&self) {
-        // The sender lives in `self`, so the wait can't fail.
+        // The wait fails only if the sender is dropped, and `self` owns the sender.
         let _ = self.has_synced.subscribe().wait_for(|has_synced| *has_synced).await;
     }
 
-    /// How long a start with a cached list waits for the source.
+    /// How long a head that starts with a cached list waits for a list from a source.
     pub fn start_timeout(&self) -> Duration {
         self.schedule.start_timeout()
     }
 
-    /// Follows discovery at the configured address for as long as it is polled. `has_list` says whether the head serves
-    /// with a cached list.
+    /// Follows discovery at the configured address until the future is dropped. `has_list` is whether a cached list
+    /// has been applied.
     pub async fn follow(&self, configured_address: watch::Receiver<SocketAddr>, has_list: bool) {
         reflector::follow_discovery(self, configured_address, has_list).await;
     }
 
-    /// The newest version known.
+    /// The newest known version of the list.
     pub fn version(&self) -> u64 {
         self.membership.borrow().version()
     }
@@ -116,7 +117,7 @@
         self.last_change.get().elapsed()
     }
 
-    /// How many relays are reachable; none if the head follows no relays.
+    /// The number of reachable relays; `None` if the head follows no relays.
     pub fn relays_reachable(&self) -> Option<usize> {
         self.relays_reachable.get()
     }
@@ -126,18 +127,18 @@
         self.relays_reachable.set(Some(relays));
     }
 
-    /// Records that a source has sent something.
+    /// Records that a list or a heartbeat was received from a source.
     pub(super) fn record_message(&self) {
         self.last_message.set(Instant::now());
         self.counters.discovery_messages.add();
     }
 
-    /// Makes connections to sources, and counts their traffic.
+    /// Returns the connector for sources, which counts their traffic.
     pub(super) fn connector(&self) -> CountedTcp<Counters> {
         CountedTcp(self.counters.clone())
     }
 
-    /// When discovery is called.
+    /// The schedule of calls to discovery.
     pub(super) fn schedule(&self) -> &PollSchedule {
         &self.schedule
     }
@@ -147,13 +148,14 @@
         &self.counters
     }
 
-    /// The clock by which lists are applied.
+    /// The clock whose time is the time of receipt of lists.
     pub(super) fn clock(&self) -> Clock {
         self.dispatcher.clock()
     }
 
-    /// The exported figures: the numbers of listed nodes and of those that get no requests, the seconds since the list
-    /// last changed and since its source was last heard, and the number of reachable relays.
+    /// The exported gauges: the number of listed nodes, the number of those that are sent no requests, the seconds
+    /// since a list last changed a node, the seconds since the last message from a source, and the number of
+    /// reachable relays.
     pub fn gauges(&self) -> Vec<(&'static str, usize)> {
         let mut gauges = vec![
             ("bricks_known", self.membership.borrow().len()),
@@ -167,7 +169,8 @@
         gauges
     }
 
-    /// The number of listed nodes that get no requests: those that are not ready, and those that operators have excluded.
+    /// The number of listed nodes that are sent no requests: those that are not ready, and those that operators have
+    /// excluded.
     fn count_unusable(&self) -> usize {
         let membership = self.membership.borrow();
         let mut unusable = membership.len() - membership.ready();
@@ -180,7 +183,7 @@
         unusable
     }
 
-    /// Excludes a node on an operator's call, or readmits it. Returns false for a node that was never listed.
+    /// Excludes a node on an operator's request, or readmits it. Returns false if the name of the node is not known.
     ///
     /// # Errors
     /// Fails if the exclusion can't be saved.
@@ -205,22 +208,22 @@
         is_listed || self.exclusions.known_names().iter().any(|known| known == name)
     }
 
-    /// Updates transport and scheduler after the exclusions have changed.
+    /// Updates the transport and the scheduler after the exclusions have changed.
     pub fn on_exclusions_changed(&self) {
         let nodes: Vec<ListedNode> = self.membership.borrow().nodes().collect();
         let endpoints = nodes.iter().map(|node| self.update_transport(node)).collect();
         self.dispatcher.notify(&[Event::EndpointUpdate { kind: UpdateKind::Changes, endpoints }]);
     }
 
-    /// Applies a list. The transport learns of it before the scheduler, so that nothing is written to a node that has
-    /// just left. Both learn only what changes, also if the list is a snapshot.
+    /// Applies a list. The transport is updated before the scheduler, so that no request is sent to a node that has
+    /// just been reported as draining or gone. Both receive only the changes, even if the list is a snapshot.
     pub fn apply(&self, list: impl Into<CompactList>, source: &mut SourceCursor, kind: UpdateKind) {
         let list = list.into();
         let now = self.dispatcher.clock().now();
         let is_first = kind == UpdateKind::CachedSnapshot || !*self.has_synced.borrow();
         let is_empty = list.is_empty() && list.unreadable.is_empty() && !list.is_snapshot;
         if is_empty && !is_first {
-            // Only the version is new.
+            // The list changes only the version.
             self.membership.borrow_mut().apply(&list, source, now);
             return self.notify_version();
         }
@@ -256,8 +259,8 @@
         self.counters.bad_input.add_many(count as u64);
     }
 
-    /// Updates the transport after a change, and appends the endpoints that the scheduler has to learn. A node that holds
-    /// another shard than before is removed from the old one first.
+    /// Updates the transport after a change, and appends the updates for the scheduler to `endpoints`. If the shard
+    /// of a node has changed, the node is removed from its previous shard first.
     fn apply_change(&self, change: &NodeChange, endpoints: &mut Vec<Endpoint>) {
         match change {
             NodeChange::Removed(node) => endpoints.push(self.remove_from_transport(node)),
@@ -271,7 +274,8 @@
         }
     }
 
-    /// Updates a listed node's address at the transport, and returns the endpoint as it is to be used.
+    /// Updates the address of a listed node in the transport. Returns the endpoint with the operators' exclusions
+    /// applied.
     fn update_transport(&self, node: &ListedNode) -> Endpoint {
         let endpoint = self.with_exclusions(node);
         match node.address {
@@ -285,15 +289,15 @@
         endpoint
     }
 
-    /// Removes a node from the transport, and returns the endpoint as gone.
+    /// Removes a node from the transport. Returns the endpoint with the state [`NodeState::Gone`].
     fn remove_from_transport(&self, node: &ListedNode) -> Endpoint {
         let endpoint = Endpoint { state: NodeState::Gone, ..listed_endpoint(node) };
         self.transport.remove_node(endpoint.node);
         endpoint
     }
 
-    /// A listed node as the operators' exclusions allow it to be used: an excluded one counts as draining, and one that
-    /// was readmitted as started then, whatever the list says.
+    /// Converts a listed node to an endpoint and applies the operators' exclusions: an excluded node is draining, and
+    /// the start time of a readmitted node is not before its readmission.
     fn with_exclusions(&self, node: &ListedNode) -> Endpoint {
         let mut endpoint = listed_endpoint(node);
         if self.exclusions.contains(&node.name) {
@@ -310,7 +314,7 @@
     at.get().elapsed().as_secs() as usize
 }
 
-/// A listed node as scheduler and transport know it, without the operators' exclusions.
+/// Converts a listed node to an endpoint of the scheduler, without the operators' exclusions.
 fn listed_endpoint(node: &ListedNode) -> Endpoint {
     let is_ready = node.state == ListedState::Ready;
     Endpoint {
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,10 +1,10 @@
-//! Discovery: which storage nodes there are, and how the head keeps up with changes.
+//! Discovery: the head's list of storage nodes, and the clients that keep it up to date.
 //!
-//! - [`client`] lists and watches one source, at the pace that [`schedule`] sets.
+//! - [`client`] lists and watches one source, at the times that [`schedule`] determines.
 //! - [`relist`] tracks whether the complete list has to be requested again.
-//! - `reflector` follows sources and applies what they send to the [`directory`], which owns the membership and updates
+//! - `reflector` follows sources and applies their lists to the [`directory`], which owns the membership and updates
 //!   the scheduler and the node transport.
-//! - [`relays`] follows two relays in place of discovery itself.
+//! - [`relays`] follows two relays instead of the discovery server.
 
 pub mod client;
 pub mod directory;
--- a/src/discovery/reflector.rs
+++ b/src/discovery/reflector.rs
@@ -1,4 +1,4 @@
-//! Follows sources of the endpoint list and applies what they send to the [`EndpointDirectory`].
+//! Follows sources of the endpoint list and applies their lists to the [`EndpointDirectory`].
 
 use crate::discovery::client::{CallError, CountedTcp, ReceiveTimes, SourceRequest, WatchEvent, Watcher};
 use crate::discovery::directory::EndpointDirectory;
@@ -12,22 +12,23 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Lists and watches one source, and applies what it sends.
+/// Lists and watches one source, and applies its lists to the directory.
 pub(super) struct EndpointReflector<'a> {
     directory: &'a EndpointDirectory,
     watcher: Watcher<'a, CountedTcp<Counters>>,
     address: SocketAddr,
-    /// The version after which changes are watched.
+    /// A new watch requests the changes after this version.
     watch_since: u64,
-    /// The source's version, and how its lists fit among those of another source that is followed beside it.
+    /// Tracks the source's version, and filters its lists against those of another source that is followed at the same
+    /// time.
     filter: UpdateFilter,
     relist: PendingRelist,
-    /// The source was behind the known version with its last list.
+    /// Whether the last list from the source was behind the known version.
     was_behind: bool,
 }
 
 impl<'a> EndpointReflector<'a> {
-    /// Creates a reflector that watches for changes after a version.
+    /// Creates a reflector that watches for the changes after version `watch_since`.
     pub(super) fn new(
         directory: &'a EndpointDirectory,
         watcher: Watcher<'a, CountedTcp<Counters>>,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Creates a reflector that begins with the complete list.
+    /// Creates a reflector that requests the complete list first.
     fn listing(
         directory: &'a EndpointDirectory,
         watcher: Watcher<'a, CountedTcp<Counters>>,
@@ -55,20 +56,20 @@
         EndpointReflector { relist: PendingRelist::until_listed(), ..reflector }
     }
 
-    /// Replaces the watch on the same source by one for changes after a version. It stays known whether the source is
-    /// behind.
+    /// Replaces the watch on the same source by one for the changes after version `watch_since`. Retains whether the
+    /// source is behind.
     pub(super) fn restart_watch(&mut self, watcher: Watcher<'a, CountedTcp<Counters>>, watch_since: u64) {
         self.watcher = watcher;
         self.watch_since = watch_since;
         self.filter.restart(watch_since);
     }
 
-    /// How the source's lists fit among those of another source that is followed beside it.
+    /// The filter of the source's lists against those of another source that is followed at the same time.
     pub(super) fn filter(&mut self) -> &mut UpdateFilter {
         &mut self.filter
     }
 
-    /// Follows the source for as long as it is polled.
+    /// Follows the source until the future is dropped.
     async fn run(mut self) {
         loop {
             let event = self.next_event().await;
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Follows the source until its complete list was applied and it is not behind the known version.
+    /// Follows the source until its complete list has been applied and it is not behind the known version.
     async fn run_until_caught_up(mut self) {
         loop {
             let event = self.next_event().await;
@@ -88,13 +89,14 @@
         }
     }
 
-    /// Waits for the next event of the source. Calls that fall due meanwhile request what is missing.
+    /// Waits for the next event of the source. Calls that become due meanwhile request the complete list if a relist is
+    /// pending or the version count of the source has restarted.
     pub(super) async fn next_event(&mut self) -> WatchEvent {
-        let is_rewound = self.needs_relist();
+        let needs_relist = self.needs_relist();
         let watch_since = self.watch_since;
         let relist = &self.relist;
         let next_request = || {
-            if is_rewound || relist.take_attempt() {
+            if needs_relist || relist.take_attempt() {
                 SourceRequest::List
             } else {
                 SourceRequest::WatchSince(watch_since)
@@ -107,7 +109,7 @@
         event
     }
 
-    /// Applies an event to the directory, and requests what is missing after it.
+    /// Applies an event to the directory, and schedules a call for the complete list if it is needed.
     pub(super) fn apply(&mut self, event: WatchEvent) {
         match event {
             WatchEvent::List { list, request, received } => self.apply_list(list, request, received),
@@ -121,7 +123,7 @@
                 let version = self.directory.version();
                 let age = self.directory.list_age();
                 log::warn!(
-                    "discovery: {} silent for {silence:?}; the list is at version {version}, told {age:?} ago",
+                    "discovery: {} silent for {silence:?}; the list is at version {version}, last changed {age:?} ago",
                     self.address
                 );
             }
@@ -185,10 +187,11 @@
     log::info!("discovery: version {}, {} entries, kind={kind}", list.version, list.len());
 }
 
-/// Follows discovery at the configured address, and moves to another address when the configuration changes, for as long
-/// as it is polled.
+/// Follows discovery at the configured address until the future is dropped, and moves to another address when the
+/// configuration changes.
 ///
-/// With a known list, it watches for changes after the list's version, otherwise it begins with the complete list.
+/// If `has_list`, watches for the changes after the version of the known list; otherwise requests the complete list
+/// first.
 pub(super) async fn follow_discovery(
     directory: &EndpointDirectory,
     mut configured_address: watch::Receiver<SocketAddr>,
@@ -215,17 +218,18 @@
     }
 }
 
-/// Waits until another address is configured and its complete list was applied. Until then the known nodes stay in use
-/// and the old source is followed, too.
+/// Waits until another address is configured and the complete list from that address has been applied. Until then the
+/// known nodes stay in use, and the caller keeps following the old source.
 ///
-/// The new source may be behind the old one. What its list says of nodes that leave is applied at once, and the move is
-/// completed once the source has caught up, or has been behind for so long that its version count must have restarted.
+/// The new source may be behind the old one. Drains and removals that it reports are applied at once. The move is
+/// complete once the new source has caught up, or has been behind for so long that its version count must have
+/// restarted.
 async fn move_to_new_address(
     directory: &EndpointDirectory,
     configured_address: &mut watch::Receiver<SocketAddr>,
 ) {
     if configured_address.changed().await.is_err() {
-        // The configuration is not reloaded any more.
+        // The sender was dropped, so the address can't change any more.
         return future::pending().await;
     }
     loop {
--- a/src/discovery/relays.rs
+++ b/src/discovery/relays.rs
@@ -1,6 +1,6 @@
-//! A head that follows relays in place of discovery itself: watches on two of them feed one [`EndpointDirectory`].
-//! [`Selection`] decides which relays those are, and when a watch is opened or closed; [`RelayFollower`] runs the watches
-//! and reports their events to it.
+//! Follows relays instead of the discovery server: watches on two relays update one [`EndpointDirectory`].
+//! [`Selection`] chooses the relays, and decides when a watch is opened or closed. [`RelayFollower`] runs the watches
+//! and reports their events to the selection.
 
 pub mod settings;
 mod watch;
@@ -17,19 +17,19 @@
 use tokio::time::sleep_until;
 use watch::{RelayWatch, RelayWatchEvent, WatchReport};
 
-/// Capacity of the channel of reports; watches wait when it is full.
+/// Capacity of the channel for reports of watches. A watch waits while the channel is full.
 const REPORT_CAPACITY: usize = 8;
-/// The poll schedule of a relay assumes this many callers: the delays that spread a fleet's calls are the selection's.
+/// Number of heads for the poll schedule of a relay. It is 1 since [`Selection`] already spreads the calls of a fleet.
 const CALLERS: u32 = 1;
 
-/// The relays in use, by their indices in the selection's list.
+/// The relays in use, as indices into [`Selection::relays`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct RelaysInUse {
     primary: Option<usize>,
     spare: Option<usize>,
 }
 
-/// Runs a head's watches on relays.
+/// Runs the watches of a head on relays.
 pub struct RelayFollower {
     directory: Rc<EndpointDirectory>,
     selection: Selection,
@@ -38,16 +38,17 @@
     tasks: JoinSet<()>,
     report_sender: mpsc::Sender<WatchReport>,
     reports: mpsc::Receiver<WatchReport>,
-    /// The relays that were logged last; `None` before the first time.
+    /// The relays in use when they were last logged; `None` before the first log line.
     logged_relays: Option<RelaysInUse>,
 }
 
 impl RelayFollower {
-    /// A follower without a watch yet. The seed spreads this head's delays from those of other heads.
+    /// Creates a follower without watches. Each head needs its own `seed`, so that the delays of different heads
+    /// differ.
     ///
     /// # Errors
     ///
-    /// A relay has no name, or two relays have the same name or address.
+    /// Fails if a relay has no name, or if two relays have the same name or address.
     pub fn new(
         directory: Rc<EndpointDirectory>,
         head_name: &str,
@@ -62,7 +63,7 @@
         Ok(RelayFollower {
             directory,
             selection,
-            // Only an agent of the head's own is polled by the grace period.
+            // The grace period only affects the polling of a local agent.
             schedule: Rc::new(PollSchedule::new(CALLERS, seed, SourceKind::SharedServer, Duration::ZERO)),
             watches: HashMap::new(),
             tasks: JoinSet::new(),
@@ -72,7 +73,7 @@
         })
     }
 
-    /// Follows relays for as long as it is polled. Needs a local task set.
+    /// Follows relays until the future is dropped. Must be called in a `LocalSet`.
     pub async fn run(mut self) {
         loop {
             let now = self.directory.clock().now();
@@ -82,7 +83,7 @@
             self.publish_relays_in_use();
             let next_poll = self.directory.clock().instant(self.selection.next_poll(now));
             tokio::select! {
-                // The sender lives in `self`, so the channel never closes.
+                // `self` owns a sender, so the channel never closes.
                 Some(report) = self.reports.recv() => self.handle_report(report),
                 Some(_) = self.tasks.join_next() => {}
                 () = sleep_until(next_poll) => {}
@@ -165,7 +166,7 @@
             (Some(primary), None) => {
                 log::info!("relays: primary is {}, without a spare", self.relay_name(primary));
             }
-            // At the start no relay was called yet.
+            // No relay has been called before the first log line.
             (None, _) if self.logged_relays.is_none() => {}
             (None, _) => {
                 let version = self.directory.version();
--- a/src/discovery/relays/settings.rs
+++ b/src/discovery/relays/settings.rs
@@ -1,4 +1,5 @@
-//! The `[distribution]` table of the operators' file, and its validation: errors name the line and the key.
+//! The `[distribution]` table of the operators' configuration file, and its validation. Errors contain the line and the
+//! key.
 
 use flaxgap_distribution::selection::{Locality, RelayInfo};
 use serde::Deserialize;
@@ -7,13 +8,13 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// An invalid `[distribution]` table; the operator's fault.
+/// A validation error in the `[distribution]` table.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("line {line}: distribution.{key}: {problem}")]
 pub struct DistributionError {
-    /// The line in the file, from 1.
+    /// The line number in the file, from 1.
     pub line: usize,
-    /// The key, with the relay's index if it belongs to a relay.
+    /// The key within the table; for a field of a relay, with the relay's index.
     pub key: String,
     /// Why the value is invalid.
     pub problem: DistributionProblem,
@@ -23,20 +24,20 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DistributionProblem {
     /// The list of relays is empty.
-    #[error("names no relay")]
+    #[error("must contain at least one relay")]
     NoRelays,
-    /// A text is empty.
+    /// A string is empty or contains only white space.
     #[error("must not be empty")]
     Empty,
     /// An address has port 0.
     #[error("needs a port")]
     MissingPort,
-    /// Two relays have one name or address.
-    #[error("is another relay's as well")]
+    /// Two relays have the same name or address.
+    #[error("is already used by another relay")]
     Duplicate,
 }
 
-/// The table as operators write it.
+/// The deserialized `[distribution]` table, not validated.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DistributionFile {
@@ -45,7 +46,7 @@
     relays: Spanned<Vec<RelayFile>>,
 }
 
-/// A relay as operators write it.
+/// A deserialized relay of the table, not validated.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RelayFile {
@@ -55,36 +56,36 @@
     zone: Spanned<String>,
 }
 
-/// Where a head runs, and the relays that it may follow.
+/// The location of a head, and the relays that it may follow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DistributionSettings {
-    /// Where the head runs.
+    /// The region and zone of the head.
     pub locality: Locality,
-    /// All relays, in the file's order.
+    /// The relays, in the order of the file.
     pub relays: Vec<RelayInfo>,
 }
 
 impl DistributionSettings {
-    /// Validates a file's `[distribution]` table; `text` is the whole file, for the line numbers.
+    /// Validates the `[distribution]` table. `text` is the whole file, from which line numbers are derived.
     ///
     /// # Errors
     ///
-    /// A key is missing or has a value that can't be used; the error names the line.
+    /// Fails if a value is invalid.
     pub fn check(file: &DistributionFile, text: &str) -> Result<DistributionSettings, DistributionError> {
-        let checker = TableChecker { text };
-        let region = checker.text(&file.region, "region")?;
-        let zone = checker.text(&file.zone, "zone")?;
-        let relays = checker.relays(&file.relays)?;
+        let validator = TableValidator { text };
+        let region = validator.text(&file.region, "region")?;
+        let zone = validator.text(&file.zone, "zone")?;
+        let relays = validator.relays(&file.relays)?;
         Ok(DistributionSettings { locality: Locality { region, zone }, relays })
     }
 }
 
-/// Validates a table, and reports errors with their line.
-struct TableChecker<'a> {
+/// Validates the values of a table and derives the line numbers of errors.
+struct TableValidator<'a> {
     text: &'a str,
 }
 
-impl TableChecker<'_> {
+impl TableValidator<'_> {
     fn relays(&self, files: &Spanned<Vec<RelayFile>>) -> Result<Vec<RelayInfo>, DistributionError> {
         if files.get_ref().is_empty() {
             return Err(self.error(files, "relays", DistributionProblem::NoRelays));
@@ -135,7 +136,7 @@
     }
 }
 
-/// The key of a relay's field, as errors name it.
+/// The key of a relay's field in error messages.
 fn relay_key(index: usize, field: &str) -> String {
     format!("relays[{index}].{field}")
 }
--- a/src/discovery/relays/tests.rs
+++ b/src/discovery/relays/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of one watch against a test relay in the same thread.
+//! Tests of a watch on a test relay in the same thread.
 
 use super::*;
 use crate::core::{Clock, Dispatcher};
@@ -17,7 +17,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Longest wait; only a failing test takes that long.
+/// Timeout of each wait. Only a failing test waits that long.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// Settings with one request class and one service level.
@@ -58,7 +58,7 @@
     )
 }
 
-/// A connection of the head to the test relay.
+/// A connection from the head to the test relay.
 struct HeadConnection {
     request_line: String,
     stream: TcpStream,
@@ -67,11 +67,12 @@
 impl HeadConnection {
     async fn accept(listener: &TcpListener) -> HeadConnection {
         let (mut stream, _) = timeout(WAIT_LIMIT, listener.accept()).await.expect("in time").expect("a call");
-        let mut head = Vec::new();
-        while !head.ends_with(b"\r\n\r\n") {
-            head.push(stream.read_u8().await.expect("a head"));
+        let mut request_header = Vec::new();
+        while !request_header.ends_with(b"\r\n\r\n") {
+            request_header.push(stream.read_u8().await.expect("a request header"));
         }
-        let request_line = String::from_utf8_lossy(&head).lines().next().unwrap_or_default().to_string();
+        let request_line =
+            String::from_utf8_lossy(&request_header).lines().next().unwrap_or_default().to_string();
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.expect("written");
         HeadConnection { request_line, stream }
     }
@@ -82,7 +83,7 @@
     }
 }
 
-/// Runs a watch on a test relay.
+/// Runs a test with a watch on a test relay.
 fn with_watch<F: Future<Output = ()>>(
     test: impl FnOnce(Rc<EndpointDirectory>, TcpListener, mpsc::Receiver<WatchReport>) -> F,
 ) {
@@ -123,9 +124,9 @@
     timeout(WAIT_LIMIT, reached).await.expect("the list is applied");
 }
 
-/// A list that jumps over a version received from the other relay may lack what changed and changed back.
+/// A list that skips a version received from the other relay may not contain a change that was reverted by then.
 #[test]
-fn a_relay_that_jumps_over_a_known_version_is_watched_again_from_that_version() {
+fn relay_that_skips_a_known_version_is_watched_again_from_that_version() {
     with_watch(|directory, listener, _reports| async move {
         let mut first = HeadConnection::accept(&listener).await;
         assert!(first.request_line.contains("follow=1&since=0"), "{}", first.request_line);
@@ -136,15 +137,15 @@
         first.send_line(&list(4, false, "s-2", "ready")).await;
         let mut second = HeadConnection::accept(&listener).await;
         assert!(second.request_line.contains("follow=1&since=3"), "{}", second.request_line);
-        assert_eq!(directory.version(), 3, "the list that jumps over it is not applied");
+        assert_eq!(directory.version(), 3, "a list that skips this version is not applied");
         second.send_line(&list(4, false, "s-2", "ready")).await;
         wait_for_version(&directory, 4).await;
     });
 }
 
-/// The reason distinguishes an overloaded relay from one that fails.
+/// The reported reason distinguishes an overloaded relay from one that ended the watch.
 #[test]
-fn the_loss_of_a_watch_is_reported_with_its_reason() {
+fn lost_watch_is_reported_with_its_reason() {
     with_watch(|_, listener, mut reports| async move {
         let mut call = HeadConnection::accept(&listener).await;
         call.send_line("").await;
@@ -158,7 +159,7 @@
     });
     with_watch(|_, listener, mut reports| async move {
         let (mut stream, _) = listener.accept().await.expect("a call");
-        let _ = stream.read(&mut [0; 1024]).await.expect("a head");
+        let _ = stream.read(&mut [0; 1024]).await.expect("a request header");
         let busy = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(busy).await.expect("written");
         let event = timeout(WAIT_LIMIT, reports.recv()).await.expect("in time").expect("a report").event;
--- a/src/discovery/relays/watch.rs
+++ b/src/discovery/relays/watch.rs
@@ -1,4 +1,4 @@
-//! One watch on one relay: its updates go to the directory, its events to the follower.
+//! A watch on one relay. It applies the updates to the directory and reports its state to the follower.
 
 use crate::discovery::client::{CallError, CountedTcp, WatchEvent, Watcher};
 use crate::discovery::directory::EndpointDirectory;
@@ -11,23 +11,23 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// An event of a watch.
+/// A change in the state of a watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RelayWatchEvent {
-    /// Its first message has arrived.
+    /// The first message was received.
     Opened,
-    /// It has ended.
+    /// The watch has ended.
     Lost(LostReason),
 }
 
-/// A watch's report to the follower.
+/// An event of one watch, sent to the follower.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WatchReport {
     pub(super) watch_id: WatchId,
     pub(super) event: RelayWatchEvent,
 }
 
-/// One watch on one relay. It does not reconnect by itself once it has ended.
+/// A watch on one relay. It does not reconnect after it has ended.
 pub(super) struct RelayWatch {
     pub(super) watch_id: WatchId,
     pub(super) address: SocketAddr,
@@ -67,7 +67,7 @@
         Watcher::without_retries(self.directory.connector(), self.address, &self.schedule)
     }
 
-    /// Filters lists against those of the other watch; every other update is applied.
+    /// Filters lists against those of the other watch. Other events are always applied.
     fn evaluate(&self, event: &WatchEvent, reflector: &mut EndpointReflector<'_>) -> Verdict {
         match event {
             WatchEvent::List { list, .. } => {
@@ -78,17 +78,18 @@
     }
 
     async fn report(&self, event: RelayWatchEvent) {
-        // A follower that has closed the channel has dropped this watch, too.
+        // The channel is closed only when the follower is dropped, which aborts this task.
         _ = self.reports.send(WatchReport { watch_id: self.watch_id, event }).await;
     }
 }
 
-/// Whether an update shows that the watch is open.
+/// Whether an event is a message from the relay, so that the watch is open.
 fn is_message(event: &WatchEvent) -> bool {
     matches!(event, WatchEvent::List { .. } | WatchEvent::Heartbeat)
 }
 
-/// Why an update ends the watch, if it does. The end of a call for the complete list that delivered it is no loss.
+/// Why an event ends the watch; `None` if the watch continues. A call for the complete list that ends after the list is
+/// not a loss of the watch.
 fn lost_reason(event: &WatchEvent) -> Option<LostReason> {
     match event {
         WatchEvent::SourceSilent(_) => Some(LostReason::IdleTimeout),
--- a/src/discovery/schedule/tests.rs
+++ b/src/discovery/schedule/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module's private parts.
+//! Tests of delays, backoff and timeouts of the poll schedule.
 
 use super::*;
 
@@ -9,15 +9,15 @@
     seeds.map(|seed| PollSchedule::new(heads, seed, SourceKind::SharedServer, GRACE)).collect()
 }
 
-/// When a head received the list, and how many calls it took.
+/// When a head received the list, and how many calls it needed.
 #[derive(Clone)]
 struct Delivery {
     received_at_s: f64,
     calls: u32,
 }
 
-/// Simulates a server that answers calls one at a time, `service_time_s` each, and fails those that have queued for
-/// 1.9 s. All heads lost their watches at 0.
+/// Simulates a server that answers one call at a time, each in `service_time_s`, and rejects calls that have been
+/// queued for 1.9 s. All heads lose their watches at time 0.
 fn simulate_relist(schedules: &[PollSchedule], service_time_s: f64) -> Vec<Delivery> {
     let mut backoffs: Vec<_> = schedules.iter().map(PollSchedule::backoff).collect();
     let mut calls: Vec<(f64, usize)> = Vec::new();
@@ -40,8 +40,8 @@
     deliveries
 }
 
-/// Worst case: all heads call at once a server that needs most of the 6 s to answer them. With delays of up to 12.5 s
-/// for 100 heads half of them received the list too late, and without delays two thirds of the calls failed.
+/// Worst case: all heads call at the same time, and the server needs most of the 6 s to answer them. With delays of
+/// up to 12.5 s, half of 100 heads received the list too late; without delays, two thirds of the calls failed.
 #[test]
 fn fleets_of_any_size_receive_the_list_within_six_seconds() {
     let fleets =
@@ -59,14 +59,15 @@
     }
 }
 
-/// A head that delayed its calls to a local agent would send requests to a draining node for up to 4 s more.
+/// Calls to a local agent are not delayed in a large fleet: a head would otherwise send requests to a draining node for
+/// up to 4 s longer.
 #[test]
 fn local_agent_is_polled_at_a_fixed_interval_in_a_fleet_of_any_size() {
     let schedule = PollSchedule::new(300, 5, SourceKind::LocalAgent, GRACE);
     assert_eq!((schedule.initial_delay(), schedule.call_timeout()), (Duration::ZERO, CALL_TIMEOUT));
     let mut poller = schedule.poller();
     for end in [CallEnd::NeverOpened, CallEnd::Broken, CallEnd::Stalled] {
-        assert_eq!(poller.on_call_ended(end), None, "the interval does not depend on the end of a call");
+        assert_eq!(poller.on_call_ended(end), None, "the interval does not depend on how a call ends");
         assert_eq!(poller.on_call_started(), Some(GRACE / 4));
     }
     let poll_interval = |millis| {
@@ -78,9 +79,9 @@
     assert_eq!(poll_interval(2000), Some(MAX_POLL_INTERVAL), "upper bound");
 }
 
-/// Timeouts and backoff together stay within the 6 s in which a head has to receive an update, and the 250 ms in which
-/// the last request may follow: the update comes right after a watch on a shared server stalled, and the call queues
-/// there for a second.
+/// The idle timeout, the backoff and 1 s in the server's queue together take at most the 6 s within which a head has to
+/// receive an update and the 250 ms within which it may still send requests. This is the worst case: the update is made
+/// just after the watch has stalled.
 #[test]
 fn stalled_watch_is_replaced_before_an_update_is_overdue() {
     let time_limit = Duration::from_millis(6250);
@@ -97,7 +98,7 @@
     }
 }
 
-/// Heads neither retry all at once, nor so often that a shared server never catches up.
+/// Heads do not retry all at the same time, nor so often that a shared server stays overloaded.
 #[test]
 fn backoff_is_spread_over_a_fleet_and_grows_until_calls_are_rare() {
     let delays_s = |schedule: &PollSchedule| {
@@ -117,8 +118,8 @@
     assert_eq!(PollSchedule::new(8, 5, SourceKind::SharedServer, GRACE).initial_delay(), Duration::ZERO);
 }
 
-/// Failed calls to a shared server do not delay the next one past the 6 s in which a head has to receive an update:
-/// however a call ends, and at whatever stage, the next one begins within the longest interval.
+/// A failed call to a shared server does not delay the next one beyond the 6 s within which a head has to receive an
+/// update: the next call starts within the longest interval, regardless of how and when a call ends.
 #[tokio::test(start_paused = true)]
 async fn calls_to_a_shared_server_begin_at_most_one_interval_apart() {
     for heads in [9, 20, 300, 1024, 4200] {
--- a/tests/relays.rs
+++ b/tests/relays.rs
@@ -521,14 +521,14 @@
     };
     let good = relay("relay-1", "127.0.0.1:9", "r1-a");
     let bad = [
-        (table(&[]), "line 4: distribution.relays: names no relay"),
+        (table(&[]), "line 4: distribution.relays: must contain at least one relay"),
         (
             table(&[good.clone(), relay("relay-1", "127.0.0.1:10", "r1-a")]),
-            "line 5: distribution.relays[1].name: is another",
+            "line 5: distribution.relays[1].name: is already used by another relay",
         ),
         (
             table(&[good.clone(), relay("relay-2", "127.0.0.1:9", "r1-a")]),
-            "line 5: distribution.relays[1].address: is another",
+            "line 5: distribution.relays[1].address: is already used by another relay",
         ),
         (table(&[relay("relay-1", "127.0.0.1:0", "r1-a")]), "relays[0].address: needs a port"),
         (table(&[relay("relay-1", "127.0.0.1", "r1-a")]), "line 4"),
