--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -114,7 +114,7 @@
     #[error("unknown state {0}, treated as draining")]
     StateUnknown(serde_json::Value),
     /// A field has an invalid value.
-    #[error("{field}: {value}")]
+    #[error("invalid {field}: {value}")]
     InvalidField {
         /// The field's name in the JSON object.
         field: &'static str,
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -70,7 +70,7 @@
     #[error("expected a complete list, got changes")]
     NotASnapshot,
     /// The response ended or timed out within a list, or the list exceeds the size limit.
-    #[error("a list that does not end")]
+    #[error("incomplete list")]
     IncompleteList,
     /// The source closed the watch.
     #[error("watch closed by the source")]
--- a/tests/scenarios_leaving.rs
+++ b/tests/scenarios_leaving.rs
@@ -136,8 +136,11 @@
         std::thread::sleep(Duration::from_millis(1500));
         assert_eq!(client.ask(&read_request(), b"").body, b"new");
         assert_eq!(old.seen().len(), seen);
-        let logged =
-            if readable { "version 2, entry 0 (s-2): endpoint: null" } else { "a list that does not end" };
+        let logged = if readable {
+            "version 2, entry 0 (s-2): invalid endpoint: null"
+        } else {
+            "error=incomplete list"
+        };
         wait(|| head.logged(logged));
         // Once it is made up for, it is not asked for again.
         assert!(
