--- a/crates/distribution/src/encode.rs
+++ b/crates/distribution/src/encode.rs
@@ -1,14 +1,14 @@
-//! Encodes lists in the discovery protocol: one JSON object a line, always with the same fields in the same order.
+//! Encodes lists in the discovery protocol: one JSON object per line, always with the same order of fields.
 
 use bytes::Bytes;
 use flaxgap_membership::list::{Entry, NodeState};
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// Milliseconds in a second: the wire carries start times in milliseconds.
+/// Milliseconds in a second; start times are encoded in milliseconds.
 const MS_PER_S: f64 = 1000.0;
 
-/// An entry in its wire form. Unknown fields are left out.
+/// The wire form of an entry. Fields with an unknown value are omitted.
 #[derive(Serialize)]
 struct WireEntry<'a> {
     uid: &'a str,
@@ -23,7 +23,7 @@
     boot_ms: u64,
 }
 
-/// A list in its wire form.
+/// The wire form of a list.
 #[derive(Serialize)]
 struct WireList<'a> {
     rev: u64,
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,12 +1,13 @@
 //! Distribution of the endpoint list from discovery to thousands of heads through a few relays, over the published list
 //! protocol (list and watch).
 //!
-//! A relay holds one replica of the list with a bounded log of changes ([`replica`]), which all its watchers share
-//! ([`watcher`]), and limits the complete lists that it sends at a time ([`snapshot_admission`]). A head selects its
-//! relays and moves between them ([`selection`]), and filters the updates that it receives from two of them at once
-//! ([`update_filter`]).
+//! A relay holds one replica of the list with a bounded log of changes ([`replica`]), which is shared by all watches on
+//! the relay ([`watcher`]), and limits how many complete lists it sends concurrently ([`snapshot_admission`]). A head
+//! selects the relays that it watches and moves between them ([`selection`]), and filters the updates that it receives
+//! from two relays ([`update_filter`]).
 //!
-//! Nothing here reads a clock, opens a socket or starts a thread: time is an argument, in seconds of Unix time.
+//! The crate does not read a clock, open a socket or start a thread: the current time is an argument, in seconds of
+//! Unix time.
 
 mod encode;
 pub mod log;
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -1,10 +1,10 @@
-//! A bounded log of encoded changes, shared by all watchers of a replica. Its oldest records are compacted away when a
-//! bound is exceeded.
+//! A bounded log of encoded changes, shared by all watchers of a replica. The oldest records are compacted (removed)
+//! when a bound is exceeded.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// The position of a record in the log. Positions increase over the whole run of a replica and are never reused.
+/// The position of a record in the log. Positions increase over the lifetime of a replica and are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position(u64);
 
@@ -116,7 +116,7 @@
         self.records.is_empty()
     }
 
-    /// The record at a position; `None` before the first and after the last.
+    /// The record at a position; `None` if it was compacted or is not appended yet.
     pub fn get(&self, position: Position) -> Option<&Record> {
         let index = position.0.checked_sub(self.first.0)?;
         self.records.get(usize::try_from(index).ok()?)
--- a/crates/distribution/src/random.rs
+++ b/crates/distribution/src/random.rs
@@ -3,7 +3,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bits that the mantissa of an `f64` holds.
+/// Number of bits in the mantissa of an `f64`.
 const MANTISSA_BITS: u32 = 53;
 
 /// A sequence of pseudo-random numbers in counter mode.
--- a/crates/distribution/src/replica/limits.rs
+++ b/crates/distribution/src/replica/limits.rs
@@ -3,12 +3,13 @@
 /// Limits of a replica and of its watchers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaLimits {
-    /// Bytes of changes in the log: 8 MiB are about 60,000 changed entries, eight times the planned list.
+    /// Limit on the bytes of changes in the log. 8 MiB hold about 60,000 changed entries, eight times the entries of
+    /// the planned list.
     pub log_bytes: usize,
-    /// Records in the log: at one change a second, more than an hour of them.
+    /// Limit on the records in the log. 4,096 records cover more than an hour at one change per second.
     pub log_records: usize,
-    /// Duration of the lease that each message from upstream renews, in seconds. Upstream sends a heartbeat every 2 s, so
-    /// one of them may be lost.
+    /// Duration of the lease that each message from upstream renews, in seconds. Upstream sends a heartbeat every 2 s,
+    /// so one of them may be lost.
     pub lease_s: f64,
     /// How long a watcher that knows a newer version waits for the replica to reach it, in seconds. Discovery's changes
     /// arrive within 6 s, so a relay that only lags has caught up by then.
--- a/crates/distribution/src/replica/mod.rs
+++ b/crates/distribution/src/replica/mod.rs
@@ -36,7 +36,7 @@
     pub changed_entries: usize,
     /// Number of entries, or parts of them, that could not be parsed.
     pub unparsed: usize,
-    /// The version of the replica now.
+    /// The version of the replica after the list was applied.
     pub version: u64,
     /// Whether upstream has restarted its version numbering: all watches have to end.
     pub renumbered: bool,
@@ -62,7 +62,7 @@
     NotCurrent,
     /// Send the records from this position on; see [`Replica::read`].
     Changes {
-        /// The position of the first record.
+        /// The position of the first record to send.
         from: Position,
     },
     /// Send the complete list.
--- a/crates/distribution/src/selection/events.rs
+++ b/crates/distribution/src/selection/events.rs
@@ -3,12 +3,12 @@
 use super::watches::WatchId;
 use thiserror::Error;
 
-/// An action for the caller.
+/// An action that the caller has to perform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Directive {
     /// Open a watch, not before `at`, that resumes after the version that the head knows at that time.
     Open {
-        /// The new watch.
+        /// The id of the new watch.
         watch_id: WatchId,
         /// The index of the relay in [`Selection::relays`](super::Selection::relays).
         relay: usize,
@@ -17,7 +17,7 @@
     },
     /// Close a watch, whether it is open or still being opened. The caller must not report it as lost.
     Close {
-        /// The watch to close.
+        /// The id of the watch to close.
         watch_id: WatchId,
     },
 }
@@ -25,19 +25,19 @@
 /// Why a watch was lost. The `Display` text is written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum LostReason {
-    /// No connection, or a response that is not a watch.
+    /// The connection could not be established, or the response was not a watch.
     #[error("unavailable")]
     Unavailable,
     /// No message arrived within the timeout.
     #[error("idle timeout")]
     IdleTimeout,
-    /// The connection broke.
+    /// The connection failed.
     #[error("connection lost")]
     ConnectionLost,
     /// The relay ended the response without an error. This is no failure unless the watch was opened just before.
     #[error("ended by relay")]
     EndedByRelay,
-    /// The relay is overloaded.
+    /// The relay rejected the watch because it is overloaded.
     #[error("overloaded, retry_after_s={retry_after_s}")]
     Overloaded {
         /// Delay before the relay may be called again, in seconds.
--- a/crates/distribution/src/selection/mod.rs
+++ b/crates/distribution/src/selection/mod.rs
@@ -47,7 +47,7 @@
     timing: SelectionTiming,
     relays: Vec<RelayInfo>,
     ranking: Ranking,
-    /// The health of each relay.
+    /// The health of each relay in `relays`.
     health: Vec<RelayHealth>,
     watches: WatchSet,
     /// The search for a relay; `None` while a relay is reachable.
@@ -167,14 +167,14 @@
         Some(best.id)
     }
 
-    /// The open watch beside the primary.
+    /// The open watch that is not the primary, if there are two.
     pub fn spare(&self) -> Option<WatchId> {
         let primary = self.primary()?;
         let spare = self.watches.open().find(|watch| watch.id != primary)?;
         Some(spare.id)
     }
 
-    /// Whether the first message of a watch has arrived.
+    /// Whether a watch is open: its first message has arrived.
     pub fn is_open(&self, watch_id: WatchId) -> bool {
         self.watches.get(watch_id).is_some_and(Watch::is_open)
     }
@@ -184,7 +184,7 @@
         self.watches.get(watch_id).map(|watch| watch.relay)
     }
 
-    /// When [`Selection::poll`] is to be called next, at the latest.
+    /// The latest time at which [`Selection::poll`] has to be called again.
     pub fn next_poll(&self, now: f64) -> f64 {
         let mut next = now + MAX_POLL_INTERVAL_S;
         for watch in self.watches.opening() {
--- a/crates/distribution/src/selection/relay_list.rs
+++ b/crates/distribution/src/selection/relay_list.rs
@@ -7,23 +7,23 @@
 /// The location of a head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Locality {
-    /// Its region.
+    /// The region of the head.
     pub region: String,
-    /// Its zone.
+    /// The zone of the head.
     pub zone: String,
 }
 
 /// A relay that heads may watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayInfo {
-    /// Its unique name. The rank depends on the name, not on the address: a relay keeps its heads when its address
-    /// changes.
+    /// The unique name of the relay. The rank depends on the name, not on the address: a relay keeps its heads when its
+    /// address changes.
     pub name: String,
-    /// Its unique address. Relays with the same IP address are assumed to share a machine.
+    /// The unique address of the relay. Relays with the same IP address are assumed to share a machine.
     pub address: SocketAddr,
-    /// Its region.
+    /// The region of the relay.
     pub region: String,
-    /// Its zone.
+    /// The zone of the relay.
     pub zone: String,
 }
 
@@ -41,7 +41,7 @@
     DuplicateName {
         /// The index of the later relay.
         index: usize,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
     /// Two relays have the same address.
@@ -49,7 +49,7 @@
     DuplicateAddress {
         /// The index of the later relay.
         index: usize,
-        /// The address.
+        /// The duplicate address.
         address: SocketAddr,
     },
 }
--- a/crates/distribution/src/selection/watches.rs
+++ b/crates/distribution/src/selection/watches.rs
@@ -4,24 +4,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WatchId(u64);
 
-/// One watch.
+/// The state of one watch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Watch {
     pub(super) id: WatchId,
-    /// The index of its relay.
+    /// The index of the watched relay.
     pub(super) relay: usize,
     pub(super) started_at: f64,
-    /// When its first message arrived; `None` while it is being opened.
+    /// When the first message arrived; `None` while the watch is being opened.
     pub(super) open_since: Option<f64>,
 }
 
 impl Watch {
-    /// Whether its first message has arrived.
+    /// Whether the first message has arrived.
     pub(super) fn is_open(&self) -> bool {
         self.open_since.is_some()
     }
 
-    /// Whether it has been open for at least a time.
+    /// Whether the watch has been open for at least `duration_s`.
     pub(super) fn has_been_open_for(&self, duration_s: f64, now: f64) -> bool {
         self.open_since.is_some_and(|since| now - since >= duration_s)
     }
@@ -77,7 +77,7 @@
         self.watches.iter().find(|watch| watch.id == id)
     }
 
-    /// All watches.
+    /// All watches, in their order.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Watch> {
         self.watches.iter()
     }
--- a/crates/distribution/src/snapshot_admission.rs
+++ b/crates/distribution/src/snapshot_admission.rs
@@ -6,7 +6,7 @@
 use crate::random::CounterRandom;
 use std::collections::VecDeque;
 
-/// Limits of the complete lists that are sent.
+/// Limits on sending complete lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotLimits {
     /// Limit on concurrent sends. Each may hold the encoding of an older version in memory: 16 sends of 1 MB each hold
@@ -74,7 +74,7 @@
     sending: Vec<ActiveSend>,
     queue: VecDeque<QueuedRequest>,
     /// When the limit on bytes per second allows the next send to start.
-    rate_free_at: f64,
+    next_send_at: f64,
     last_id: u64,
     random: CounterRandom,
 }
@@ -86,13 +86,13 @@
             limits,
             sending: Vec::new(),
             queue: VecDeque::new(),
-            rate_free_at: f64::NEG_INFINITY,
+            next_send_at: f64::NEG_INFINITY,
             last_id: 0,
             random: CounterRandom::new(seed),
         }
     }
 
-    /// Requests to send a complete list of this size.
+    /// Requests the admission of one complete list of this size.
     pub fn request(&mut self, bytes: usize, now: f64) -> SnapshotDecision {
         if self.queue.len() >= self.limits.max_queued {
             let shortest = self.limits.retry_delay_s;
@@ -109,7 +109,7 @@
         SnapshotDecision::Queued(id)
     }
 
-    /// Admits queued requests in their order as far as the limits allow, and returns them.
+    /// Admits queued requests in order as far as the limits allow, and returns the admitted ones.
     pub fn poll(&mut self, now: f64) -> Vec<SnapshotRequestId> {
         let mut admitted = Vec::new();
         while self.has_capacity(now) {
@@ -137,7 +137,7 @@
     /// concurrent sends is at its limit.
     pub fn next_poll(&self) -> Option<f64> {
         let waits_for_rate = self.sending.len() < self.limits.max_sending && !self.queue.is_empty();
-        waits_for_rate.then_some(self.rate_free_at)
+        waits_for_rate.then_some(self.next_send_at)
     }
 
     /// Number of lists that are being sent.
@@ -151,11 +151,11 @@
     }
 
     fn has_capacity(&self, now: f64) -> bool {
-        self.sending.len() < self.limits.max_sending && self.rate_free_at <= now
+        self.sending.len() < self.limits.max_sending && self.next_send_at <= now
     }
 
     fn admit(&mut self, id: SnapshotRequestId, bytes: usize, now: f64) {
         self.sending.push(ActiveSend { id, started_at: now });
-        self.rate_free_at = self.rate_free_at.max(now) + bytes as f64 / self.limits.bytes_per_s;
+        self.next_send_at = self.next_send_at.max(now) + bytes as f64 / self.limits.bytes_per_s;
     }
 }
--- a/crates/distribution/src/update_filter.rs
+++ b/crates/distribution/src/update_filter.rs
@@ -15,7 +15,8 @@
     Rewatch,
 }
 
-/// The progress of one watch through the versions. Each watch that is opened gets its own filter.
+/// The update filter of one watch, which tracks the versions that the watch has received. Each opened watch needs its
+/// own filter.
 #[derive(Debug)]
 pub struct UpdateFilter {
     source: SourceCursor,
@@ -44,9 +45,9 @@
         self.source.has_rewound(now)
     }
 
-    /// Decides on an update of this watch, by its version, whether it is a complete list, and the version that
-    /// membership has reached. Once a complete list has shown the relay to lag behind, all its updates are applied:
-    /// membership decides on each entry.
+    /// Decides what to do with an update of this watch, from the update's version, whether it is a complete list, and
+    /// the version that membership has reached. Once a complete list has shown that the relay lags behind, all its
+    /// updates are applied, and membership decides on each entry.
     pub fn evaluate(&mut self, version: u64, is_complete: bool, known_version: u64) -> Verdict {
         let previous_version = std::mem::replace(&mut self.received_version, version);
         if is_complete || self.source.is_behind() {
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -26,7 +26,7 @@
     /// Request the admission of a complete list ([`crate::snapshot_admission`]), then send [`Watcher::take_snapshot`].
     /// Returned once; until the list is taken the watch sends heartbeats.
     RequestSnapshot,
-    /// Poll again at this time, or when the replica or its lease has changed.
+    /// Poll again at this time, or earlier if the replica or its lease has changed.
     Wait {
         /// The time, in seconds of Unix time.
         until: f64,
--- a/crates/distribution/tests/fleet.rs
+++ b/crates/distribution/tests/fleet.rs
@@ -216,7 +216,7 @@
         let current_s = found_s + simulation.run_until_holds(timeout_s, Simulation::all_current);
         returned.iter().for_each(|relay| assert_bounds(&simulation.relays[*relay]));
         println!(
-            "{} relays return: all heads have a watch after {found_s:.1} s, and are current after {current_s:.1} s",
+            "{} of 20 relays return: all heads have a watch after {found_s:.1} s and are current after {current_s:.1} s",
             returned.len()
         );
     }
--- a/src/bin/flaxgap-relay/connection.rs
+++ b/src/bin/flaxgap-relay/connection.rs
@@ -53,7 +53,7 @@
 }
 
 impl MonitoredStream {
-    /// Monitors the writes to a socket.
+    /// Wraps a socket to report its writes.
     pub fn new(socket: TcpStream, link: Rc<SessionLink>) -> MonitoredStream {
         MonitoredStream { socket, link }
     }
--- a/src/bin/flaxgap-relay/http.rs
+++ b/src/bin/flaxgap-relay/http.rs
@@ -40,7 +40,7 @@
 /// A connection fails if sent data is not acknowledged within this time.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts connections for as long as it is polled.
+/// Accepts connections and serves each in a task, until the future is dropped.
 pub async fn accept_connections(relay: &Rc<Relay>, listener: &TcpListener) {
     loop {
         match listener.accept().await {
--- a/src/bin/flaxgap-relay/relay.rs
+++ b/src/bin/flaxgap-relay/relay.rs
@@ -30,7 +30,7 @@
     /// The limit on watches is reached.
     #[error("the limit of {max_watches} concurrent watches is reached")]
     TooManyWatches {
-        /// The limit.
+        /// The configured limit.
         max_watches: usize,
     },
     /// The queue of requests for the complete list is full.
--- a/src/bin/flaxgap-relay/server.rs
+++ b/src/bin/flaxgap-relay/server.rs
@@ -31,7 +31,7 @@
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The runtime or a signal handler could not be set up.
--- a/src/bin/flaxgap-relay/session_registry.rs
+++ b/src/bin/flaxgap-relay/session_registry.rs
@@ -10,15 +10,15 @@
 pub enum SessionKind {
     /// The complete list, once.
     List,
-    /// A watch on the changes after a version; 0 for the complete list first.
+    /// A watch on the changes after a version.
     Watch {
-        /// The version that the client knows.
+        /// The version that the client knows; 0 if the watch starts with the complete list.
         since: u64,
     },
 }
 
 impl SessionKind {
-    /// Whether it is a watch.
+    /// Whether the request is for a watch.
     pub fn is_watch(self) -> bool {
         matches!(self, SessionKind::Watch { .. })
     }
@@ -57,7 +57,7 @@
         self.max_watches
     }
 
-    /// Number of watches.
+    /// Number of watches that are being served.
     pub fn watches(&self) -> usize {
         self.watches.get()
     }
--- a/src/bin/flaxgap-relay/settings.rs
+++ b/src/bin/flaxgap-relay/settings.rs
@@ -1,4 +1,4 @@
-//! The configuration of a relay: a TOML file, checked in full before anything starts.
+//! The configuration of a relay: a TOML file, which is validated completely before the relay starts.
 
 use flaxgap_distribution::replica::ReplicaLimits;
 use flaxgap_distribution::snapshot_admission::SnapshotLimits;
@@ -13,7 +13,7 @@
 /// Default limit on concurrent watches. 4,200 heads with two watches each cause 420 watches on each of 20 relays; the
 /// limit leaves capacity for the heads of the region's other relays when these are down.
 const DEFAULT_MAX_WATCHES: usize = 4096;
-/// Allowed limits on concurrent watches; each watch takes a descriptor.
+/// Allowed limits on concurrent watches; each watch needs a file descriptor.
 const MAX_WATCHES_RANGE: RangeInclusive<usize> = 1..=100_000;
 /// Allowed limits on concurrent sends of the complete list; each may hold an encoded list of 1 MB in memory.
 const MAX_SNAPSHOT_SENDS_RANGE: RangeInclusive<usize> = 1..=10_000;
@@ -26,15 +26,15 @@
     /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The path of the file.
+        /// The path of the configuration file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The file is not valid TOML, or has unknown or missing keys.
     #[error("{}: {source}", path.display())]
     Malformed {
-        /// The path of the file.
+        /// The path of the configuration file.
         path: PathBuf,
         /// The error of the parser, with line and column.
         source: toml::de::Error,
@@ -42,9 +42,9 @@
     /// A value is not allowed.
     #[error("{}: line {line}: {key}: {problem}", path.display())]
     Value {
-        /// The path of the file.
+        /// The path of the configuration file.
         path: PathBuf,
-        /// The line, from 1.
+        /// The line of the value, from 1.
         line: usize,
         /// The key, qualified with the name of its table.
         key: &'static str,
@@ -56,7 +56,7 @@
 /// Why a value is not allowed.
 #[derive(Debug, Error)]
 pub enum ValueProblem {
-    /// A text is empty.
+    /// A required text is empty.
     #[error("must not be empty")]
     Empty,
     /// An address has port 0.
@@ -66,14 +66,14 @@
     #[error("must not be the relay's own address")]
     OwnAddress,
     /// A number is out of its range.
-    #[error("{value} is not from {least} to {most}")]
+    #[error("{value} is not from {min} to {max}")]
     OutOfRange {
-        /// The number.
+        /// The configured number.
         value: String,
-        /// The least number allowed.
-        least: String,
+        /// The smallest number allowed.
+        min: String,
         /// The largest number allowed.
-        most: String,
+        max: String,
     },
 }
 
@@ -102,7 +102,7 @@
 pub struct RelaySettings {
     /// The relay's name in the log and in the status report.
     pub name: String,
-    /// The address that heads call.
+    /// The address on which the relay listens for heads.
     pub listen: SocketAddr,
     /// The address of the upstream that the relay watches: discovery or another relay.
     pub upstream: SocketAddr,
@@ -115,7 +115,7 @@
 }
 
 impl RelaySettings {
-    /// Reads and checks a file.
+    /// Reads and validates a configuration file.
     pub fn load(path: &Path) -> Result<RelaySettings, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| SettingsError::Unreadable { path: path.into(), source })?;
@@ -197,8 +197,8 @@
         }
         let problem = ValueProblem::OutOfRange {
             value: value.to_string(),
-            least: range.start().to_string(),
-            most: range.end().to_string(),
+            min: range.start().to_string(),
+            max: range.end().to_string(),
         };
         Err(self.error(found, key, problem))
     }
--- a/src/bin/flaxgap-relay/snapshot_queue.rs
+++ b/src/bin/flaxgap-relay/snapshot_queue.rs
@@ -66,7 +66,7 @@
         self.admission.borrow().queued()
     }
 
-    /// Admits queued requests as the limits allow, and aborts sends over their time limit, for as long as it is polled.
+    /// Admits queued requests as the limits allow, and aborts sends over their time limit, until the future is dropped.
     pub async fn run(&self) {
         loop {
             self.admit_next();
--- a/src/bin/flaxgap-relay/upstream.rs
+++ b/src/bin/flaxgap-relay/upstream.rs
@@ -32,7 +32,7 @@
         UpstreamFollower { relay: relay.clone(), relist: PendingRelist::none(), was_current: false }
     }
 
-    /// Follows the upstream for as long as it is polled.
+    /// Follows the upstream until the future is dropped.
     pub async fn run(mut self) {
         let schedule = PollSchedule::new(CALLERS, random_seed(), SourceKind::SharedServer, Duration::ZERO);
         let dial = CountedTcp(self.relay.counters().clone());
