--- a/src/exclusions.rs
+++ b/src/exclusions.rs
@@ -1,7 +1,8 @@
-//! Nodes that operators have excluded, kept apart from the endpoint list: neither a list nor a reload readmits them.
+//! Nodes that operators have excluded from service. Exclusions are stored separately from the endpoint list, so that
+//! neither a new list nor a reload readmits an excluded node.
 //!
-//! Exclusions are saved by a write and a rename before the call that changes them is answered, so that the process
-//! that takes over finds them. A file that can't be read is no reason not to serve.
+//! A change is saved, by writing a temporary file and renaming it, before the operator's request is answered, so that
+//! the next process finds it. The head serves even if the file cannot be read.
 
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -9,17 +10,17 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// How long a readmission is remembered, in seconds: longer than any node takes to warm up.
-const READMISSION_KEPT_S: f64 = 600.0;
+/// How long the time of a readmission is retained, in seconds: longer than the warm-up of any node.
+const READMISSION_RETENTION_S: f64 = 600.0;
 
-/// The content of `flaxgap-NAME.bans`. Older processes read what newer ones write and the other way round, so the
-/// `serde` names stay as they are.
+/// The content of the file `flaxgap-NAME.bans`. Processes of different versions read each other's files, so the `serde`
+/// names must not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct SavedExclusions {
     /// Names of the excluded nodes.
     #[serde(rename = "out")]
     excluded: BTreeSet<String>,
-    /// When nodes were readmitted, in Unix time. Such a node has been restarted meanwhile.
+    /// When nodes were readmitted, in Unix time, by node name. Such a node counts as restarted at that time.
     #[serde(rename = "back")]
     readmitted_at: BTreeMap<String, f64>,
 }
@@ -36,21 +37,22 @@
         }
     }
 
-    fn forget_old_readmissions(&mut self, now: f64) {
-        self.readmitted_at.retain(|_, at| now - *at < READMISSION_KEPT_S);
+    fn remove_expired_readmissions(&mut self, now: f64) {
+        self.readmitted_at.retain(|_, at| now - *at < READMISSION_RETENTION_S);
     }
 }
 
-/// The exclusions of one head, and the file that keeps them.
+/// The excluded nodes of one head, and the file in which they are saved.
 #[derive(Debug, Default)]
 pub struct Exclusions {
+    /// `None` if exclusions are not saved.
     path: Option<PathBuf>,
     saved: RefCell<SavedExclusions>,
 }
 
 impl Exclusions {
-    /// Loads the exclusions of the head of this name, as an earlier process left them in the folder. Without a folder
-    /// they last as long as the process.
+    /// Loads the exclusions that an earlier process of the head with this name saved in the folder. Without a folder,
+    /// exclusions are not saved and end with the process.
     pub fn load(folder: Option<&Path>, head_name: &str) -> Exclusions {
         let path = folder.map(|folder| folder.join(format!("flaxgap-{head_name}.bans")));
         let exclusions = Exclusions { path, saved: RefCell::default() };
@@ -58,7 +60,8 @@
         exclusions
     }
 
-    /// Takes over what the other process of this head has saved. The known exclusions stay if the file can't be read.
+    /// Reloads the file, which another process of this head may have changed. If the file cannot be read, the error is
+    /// logged and the known exclusions stay in force.
     pub fn reload(&self) {
         let Some(path) = &self.path else { return };
         match read_file(path) {
@@ -78,29 +81,32 @@
         self.saved.borrow().excluded.contains(node_name)
     }
 
-    /// When a node was readmitted, in Unix time, if it was.
+    /// When a node was readmitted, in Unix time, if it was readmitted recently.
     pub fn readmitted_at(&self, node_name: &str) -> Option<f64> {
         self.saved.borrow().readmitted_at.get(node_name).copied()
     }
 
-    /// The names of the nodes that are excluded, or were lately.
+    /// The names of the nodes that are excluded or were readmitted recently.
     pub fn known_names(&self) -> Vec<String> {
         let saved = self.saved.borrow();
         saved.excluded.iter().chain(saved.readmitted_at.keys()).cloned().collect()
     }
 
-    /// Excludes a node. The exclusion is saved before it takes effect; calls may be repeated.
+    /// Excludes a node. The exclusion is saved before it takes effect. The operation is idempotent. `now` is in Unix
+    /// time.
     ///
     /// # Errors
-    /// The file can't be written; nothing changes then.
+    ///
+    /// The file cannot be written. The exclusions are then unchanged.
     pub fn exclude(&self, node_name: &str, now: f64) -> io::Result<()> {
         self.change(now, |saved| saved.exclude(node_name))
     }
 
-    /// Readmits a node at `now`, in Unix time. The change is saved before it takes effect; calls may be repeated.
+    /// Readmits a node. The change is saved before it takes effect. The operation is idempotent. `now` is in Unix time.
     ///
     /// # Errors
-    /// The file can't be written; nothing changes then.
+    ///
+    /// The file cannot be written. The exclusions are then unchanged.
     pub fn readmit(&self, node_name: &str, now: f64) -> io::Result<()> {
         self.change(now, |saved| saved.readmit(node_name, now))
     }
@@ -108,7 +114,7 @@
     fn change(&self, now: f64, change: impl FnOnce(&mut SavedExclusions)) -> io::Result<()> {
         self.reload();
         let mut saved = self.saved.borrow().clone();
-        saved.forget_old_readmissions(now);
+        saved.remove_expired_readmissions(now);
         change(&mut saved);
         if let Some(path) = &self.path {
             replace_file(path, &saved)?;
@@ -124,7 +130,7 @@
 }
 
 fn replace_file(path: &Path, saved: &SavedExclusions) -> io::Result<()> {
-    let draft = path.with_extension("draft");
-    std::fs::write(&draft, serde_json::to_vec(saved)?)?;
-    std::fs::rename(&draft, path)
+    let temporary_path = path.with_extension("draft");
+    std::fs::write(&temporary_path, serde_json::to_vec(saved)?)?;
+    std::fs::rename(&temporary_path, path)
 }
--- a/src/shedding/controller.rs
+++ b/src/shedding/controller.rs
@@ -1,6 +1,6 @@
-//! Load shedding in a running head: evaluates the signals once a period, logs each transition, keeps the levels in a
-//! file for the process that follows, and carries out operators' overrides. What is decided, and how, is in
-//! `flaxgap_load_shedding` and [`monitor`](crate::shedding::monitor).
+//! Runs load shedding in a head: evaluates the signals once per period, logs each transition, saves the levels to a
+//! file for the next process, and applies operators' overrides. The signals are measured by
+//! [`monitor`](crate::shedding::monitor), and the decisions about levels are made in `flaxgap_load_shedding`.
 
 use crate::core::{Dispatcher, seconds};
 use crate::lifecycle::Lifecycle;
@@ -19,31 +19,31 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// Period of the loop where load shedding is off: it waits for settings.
+/// Period of the evaluation loop while load shedding is off. New settings wake the loop earlier.
 const IDLE_PERIOD: Duration = Duration::from_secs(3600);
-/// Pause after new settings: ones that change all the time must not keep the core busy.
+/// Pause after a change of settings, so that settings that change continuously do not occupy the event loop.
 const RELOAD_PAUSE: Duration = Duration::from_millis(1);
 
-/// What a [`SheddingController`] works with.
+/// The dependencies of a [`SheddingController`].
 pub struct ControllerParts {
-    /// Holds the monitor and notifies the scheduler.
+    /// Owns the [`LoadMonitor`] and notifies the scheduler of the levels.
     pub dispatcher: Rc<Dispatcher>,
-    /// The descriptors in use.
+    /// Provides the fraction of descriptors in use.
     pub descriptors: Rc<DescriptorBudget>,
-    /// The memory in use.
+    /// Provides the fraction of body memory in use.
     pub memory: Rc<BodyMemory>,
-    /// Whether a newer process has taken over.
+    /// Indicates whether a newer process has taken over.
     pub lifecycle: Rc<Lifecycle>,
-    /// The scheduler's settings.
+    /// The scheduler's settings, from which the monitor takes classes and limits.
     pub scheduler: SchedulerSettings,
-    /// Where levels are kept for the next process.
+    /// The file that saves the levels for the next process.
     pub level_file: LevelFile,
 }
 
-/// Load shedding of a running head. The levels themselves are in the dispatcher's [`LoadMonitor`].
+/// Controls load shedding in a running head. The dispatcher's [`LoadMonitor`] contains the levels.
 pub struct SheddingController {
     parts: ControllerParts,
-    /// None while load shedding is off.
+    /// `None` while load shedding is off.
     settings: RefCell<Option<SheddingSettings>>,
     settings_changed: Notify,
 }
@@ -58,8 +58,8 @@
         })
     }
 
-    /// Puts other settings in force; none switches load shedding off. Levels go on where they can. Returns true if
-    /// the monitor is new, and has to be notified of the nodes.
+    /// Applies new settings; `None` switches load shedding off. A level stays in force if the new settings have a level
+    /// of the same name. Returns true if a new monitor was created, which the caller must notify of the nodes.
     pub fn configure(&self, settings: Option<SheddingSettings>) -> bool {
         let before = self.settings.replace(settings.clone());
         self.settings_changed.notify_one();
@@ -104,7 +104,7 @@
         self.handle_transitions(&transitions.unwrap_or_default());
     }
 
-    /// Evaluates once a period, for as long as it is polled.
+    /// Evaluates the signals once per period. The future never completes.
     pub async fn run(&self) {
         loop {
             let period_s = self.settings.borrow().as_ref().map(|settings| settings.period_s);
@@ -127,18 +127,18 @@
         self.parts.dispatcher.clock().now()
     }
 
-    /// Calls with the monitor and the time; none where load shedding is off.
-    fn with_monitor<R>(&self, call: impl FnOnce(&mut LoadMonitor, f64) -> R) -> Option<R> {
-        self.parts.dispatcher.with_load_monitor(call)
+    /// Calls `visit` with the monitor and the current time. Returns `None` if load shedding is off.
+    fn with_monitor<R>(&self, visit: impl FnOnce(&mut LoadMonitor, f64) -> R) -> Option<R> {
+        self.parts.dispatcher.with_load_monitor(visit)
     }
 
-    /// Logs each transition, and saves the levels if there is one or if the file is old.
+    /// Logs each transition, and saves the levels after a transition or when the file is due to be rewritten.
     fn handle_transitions(&self, transitions: &[LevelTransition]) {
         for transition in transitions {
             let LevelTransition { scope, from, to, .. } = transition;
             log::warn!(event = "level", scope:%, from:%, to:%; "levels: {transition}");
         }
-        // Once a newer process serves, it writes the file.
+        // Once a newer process is in service, only that process writes the file.
         if self.parts.lifecycle.should_reconnect() {
             return;
         }
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether the file is old and says anything but `normal`.
+    /// Whether the file is due to be rewritten, which is the case only while a level or an override is in force.
     fn is_rewrite_due(&self, now: f64) -> bool {
         if !self.parts.level_file.is_rewrite_due(now) {
             return false;
@@ -158,7 +158,7 @@
     }
 
     fn save(&self, now: f64) {
-        if !self.parts.level_file.is_kept() {
+        if !self.parts.level_file.is_enabled() {
             return;
         }
         if let Some(state) = self.with_monitor(|monitor, now| monitor.levels().save(now)) {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Takes over an override that the other process of this head has set or released.
+    /// Applies an override that the other process of this head has set or released, as saved in the file.
     pub fn reload_overrides(&self) {
         let Some(saved) = self.parts.level_file.load() else { return };
         let transitions =
@@ -174,7 +174,7 @@
         self.handle_transitions(&transitions.unwrap_or_default());
     }
 
-    /// The body of `GET /ops/levels`; none where load shedding is off.
+    /// The response body of `GET /ops/levels`, or `None` if load shedding is off.
     pub fn status_json(&self) -> Option<String> {
         let status = self.with_monitor(|monitor, now| monitor.levels().status(now))?;
         Some(match serde_json::to_string_pretty(&status) {
@@ -183,7 +183,7 @@
         })
     }
 
-    /// Sets a level for an operator; `scope` is `head` or a zone's name. None where load shedding is off.
+    /// Sets an operator's override. `scope` is `head` or a zone's name. Returns `None` if load shedding is off.
     pub fn set_override(
         &self,
         scope: &str,
@@ -198,7 +198,8 @@
         Some(result)
     }
 
-    /// Ends an override before it expires; `scope` is `head` or a zone's name. None where load shedding is off.
+    /// Releases an override before it expires. `scope` is `head` or a zone's name. Returns `None` if load shedding is
+    /// off.
     pub fn release_override(
         &self,
         scope: &str,
@@ -213,7 +214,7 @@
         Some(result)
     }
 
-    /// Saves an operator's change before it is answered, and notifies the scheduler at once.
+    /// Logs and saves an operator's change before the request is answered, and notifies the scheduler immediately.
     fn apply_override(&self, result: &Result<LevelTransition, OverrideError>) {
         if let Ok(transition) = result {
             self.handle_transitions(std::slice::from_ref(transition));
--- a/src/shedding/mod.rs
+++ b/src/shedding/mod.rs
@@ -1,5 +1,6 @@
-//! Load shedding in a running head. [`monitor`] measures the signals, [`controller`] runs the evaluation and carries
-//! out operators' overrides, [`level_file`] keeps the levels for the next process. `flaxgap_load_shedding` decides.
+//! Load shedding in a running head. [`monitor`] measures the signals, [`controller`] evaluates them periodically and
+//! applies operators' overrides, and [`level_file`] saves the levels for the next process. The decisions about levels
+//! are made in `flaxgap_load_shedding`.
 
 pub mod controller;
 pub mod level_file;
--- a/src/shedding/monitor.rs
+++ b/src/shedding/monitor.rs
@@ -1,5 +1,6 @@
-//! Measures the signals of load shedding from the events and actions that pass between dispatcher and scheduler, and
-//! has the levels evaluated. It decides nothing itself, reads no clock, and keeps nothing of a request past its end.
+//! Measures the signals of load shedding from the events and actions that are exchanged between dispatcher and
+//! scheduler, and passes the readings to the [`LevelManager`], which decides about the levels. The monitor reads no
+//! clock, and discards its state of a request when the request ends.
 
 use crate::scheduler::{
     Action, Admission, AttemptOutcome, ClassId, Endpoint, Event, NodeId, NodeState, RequestId,
@@ -16,62 +17,63 @@
 use flaxgap_load_shedding::{LevelManager, Scope, SheddingSettings, Signal};
 use std::collections::{BTreeMap, HashMap};
 
-/// Seconds after which an attempt whose end was never seen is forgotten.
-const ATTEMPT_FORGOTTEN_AFTER_S: f64 = 120.0;
-/// Change of the earliest end that the scheduler is notified of, in seconds: clients' `Retry-After` follows it.
+/// Seconds after which an attempt is removed if no event has reported its end.
+const ATTEMPT_EXPIRY_S: f64 = 120.0;
+/// Change of the levels' earliest end, in seconds, above which the scheduler is notified. The `Retry-After` of rejected
+/// requests is derived from the earliest end.
 const EARLIEST_END_TOLERANCE_S: f64 = 0.5;
 
-/// What is measured outside the scheduler.
+/// Resource usage that is measured by the caller.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceGauges {
-    /// Fraction of the memory for bodies in use.
+    /// Fraction of the memory for request and response bodies that is in use.
     pub memory: f64,
-    /// Fraction of the descriptors in use.
+    /// Fraction of the file descriptors that is in use.
     pub descriptors: f64,
-    /// Seconds of a core that the scheduler has taken since the start.
+    /// CPU time of the scheduler since the start, in seconds.
     pub scheduler_cpu_s: f64,
 }
 
 /// The result of an evaluation.
 #[derive(Debug, Default)]
 pub struct Evaluation {
-    /// Levels that changed.
+    /// The transitions that were made.
     pub transitions: Vec<LevelTransition>,
-    /// The level that the scheduler has to be notified of, if it differs from the last.
+    /// The level to notify the scheduler of, if it has changed since the last notification.
     pub level_update: Option<SheddingLevel>,
 }
 
-/// An attempt that a node has not answered yet.
+/// An attempt that has not ended.
 struct InFlightAttempt {
     node: NodeId,
     sent_at: f64,
 }
 
-/// The scheduler's CPU time at a moment.
+/// The scheduler's CPU time since the start, sampled at `at`.
 struct CpuSample {
     at: f64,
-    spent_s: f64,
+    cpu_s: f64,
 }
 
-/// The monitor of one head.
+/// Measures the signals of one head and evaluates its levels.
 pub struct LoadMonitor {
     levels: LevelManager,
     pending: PendingRequests,
     reserved_work: ReservedWork,
     usage_reports: UsageReports,
-    /// The nodes that take requests.
+    /// The nodes that take requests, with their zones.
     nodes: BTreeMap<NodeId, ZoneId>,
     node_silence: NodeSilence,
     in_flight: HashMap<RequestId, InFlightAttempt>,
-    /// Attempts, and the requests of which they were the first.
+    /// The number of attempts, and of requests by their first attempt. The ratio is [`Signal::Attempts`].
     attempts: SlidingSums,
     last_cpu_sample: CpuSample,
-    /// What the scheduler was last notified of.
+    /// The level that the scheduler was last notified of.
     notified: SheddingLevel,
 }
 
 impl LoadMonitor {
-    /// Creates the monitor of a head whose scheduler has these settings.
+    /// Creates a monitor of a head whose scheduler has these settings.
     pub fn new(levels: LevelManager, scheduler: &SchedulerSettings, now: f64) -> LoadMonitor {
         let settings = levels.settings();
         let objectives_s = scheduler.classes.iter().map(|class| class.latency_objective_s).collect();
@@ -83,28 +85,29 @@
             node_silence: NodeSilence::new(settings.silent_after_s, settings.node_known_for_s),
             in_flight: HashMap::new(),
             attempts: sliding_sums(settings.span_s),
-            last_cpu_sample: CpuSample { at: now, spent_s: 0.0 },
+            last_cpu_sample: CpuSample { at: now, cpu_s: 0.0 },
             notified: SheddingLevel::default(),
             levels,
         }
     }
 
-    /// The levels.
+    /// The level manager.
     pub fn levels(&self) -> &LevelManager {
         &self.levels
     }
 
-    /// The levels, for an operator's request. [`LoadMonitor::take_level_update`] tells what follows from it.
+    /// The level manager, for changes by an operator. After a change, [`LoadMonitor::take_level_update`] returns the
+    /// level to notify the scheduler of.
     pub fn levels_mut(&mut self) -> &mut LevelManager {
         &mut self.levels
     }
 
-    /// Requests that the scheduler holds.
+    /// The number of pending requests.
     pub fn pending_requests(&self) -> usize {
         self.pending.len()
     }
 
-    /// Records what the scheduler was notified of at `now`, and what it decided.
+    /// Records the events that the scheduler was notified of at `now`, and the actions that it returned.
     pub fn record(&mut self, now: f64, events: &[Event], actions: &[Action]) {
         for event in events {
             self.record_event(now, event);
@@ -178,7 +181,8 @@
         }
     }
 
-    /// Reads all signals and evaluates the levels, when that is due.
+    /// Reads all signals and evaluates the levels if the next evaluation is due. `reserved_work` contains the
+    /// scheduler's totals since its start.
     pub fn evaluate(
         &mut self,
         now: f64,
@@ -199,7 +203,7 @@
         Evaluation { transitions, level_update: self.take_level_update(now) }
     }
 
-    /// The level in force, if it differs from what the scheduler was last notified of.
+    /// Returns the level in force if the scheduler has to be notified of it, and marks it as notified.
     pub fn take_level_update(&mut self, now: f64) -> Option<SheddingLevel> {
         let level = shedding_level(self.levels.admission(now));
         if !self.is_update(&level) {
@@ -216,7 +220,8 @@
             || level.is_shedding() && end_moved
     }
 
-    /// Puts other settings in force; levels go on under them where they have the same name.
+    /// Replaces the settings and returns the transitions that follow. A scope whose level has the same name in the new
+    /// settings keeps it, otherwise it returns to `normal`. Measurements over a span start anew.
     pub fn configure(&mut self, settings: SheddingSettings, now: f64) -> Vec<LevelTransition> {
         self.reserved_work.clear_sums();
         self.attempts = sliding_sums(settings.span_s);
@@ -228,30 +233,30 @@
         self.levels.configure(settings, now)
     }
 
-    fn read_head(&mut self, signal: Signal, value: f64, read_at: f64) {
+    fn record_head_reading(&mut self, signal: Signal, value: f64, read_at: f64) {
         self.levels.record_reading(Scope::Head, signal, value, read_at);
     }
 
     fn read_pending(&mut self, now: f64) {
-        self.pending.forget_lost(now);
-        self.in_flight.retain(|_, attempt| now - attempt.sent_at <= ATTEMPT_FORGOTTEN_AFTER_S);
-        self.usage_reports.forget_old(now);
-        self.read_head(Signal::Pending, self.pending.fill_fraction(), now);
-        self.read_head(Signal::OldestPendingAge, self.pending.max_relative_age(now), now);
+        self.pending.remove_expired(now);
+        self.in_flight.retain(|_, attempt| now - attempt.sent_at <= ATTEMPT_EXPIRY_S);
+        self.usage_reports.remove_expired(now);
+        self.record_head_reading(Signal::Pending, self.pending.fill_fraction(), now);
+        self.record_head_reading(Signal::OldestPendingAge, self.pending.max_relative_age(now), now);
         let min_requests = self.levels.settings().min_requests;
         if let Some(attempts) = self.attempts.ratio(now, min_requests) {
-            self.read_head(Signal::Attempts, attempts, now);
+            self.record_head_reading(Signal::Attempts, attempts, now);
         }
     }
 
     fn read_resources(&mut self, now: f64, gauges: ResourceGauges) {
-        self.read_head(Signal::Memory, gauges.memory, now);
-        self.read_head(Signal::Descriptors, gauges.descriptors, now);
-        let sample = CpuSample { at: now, spent_s: gauges.scheduler_cpu_s };
+        self.record_head_reading(Signal::Memory, gauges.memory, now);
+        self.record_head_reading(Signal::Descriptors, gauges.descriptors, now);
+        let sample = CpuSample { at: now, cpu_s: gauges.scheduler_cpu_s };
         let last = std::mem::replace(&mut self.last_cpu_sample, sample);
         if now > last.at {
-            let fraction = (gauges.scheduler_cpu_s - last.spent_s) / (now - last.at);
-            self.read_head(Signal::SchedulerCpu, fraction, now);
+            let fraction = (gauges.scheduler_cpu_s - last.cpu_s) / (now - last.at);
+            self.record_head_reading(Signal::SchedulerCpu, fraction, now);
         }
     }
 
@@ -265,12 +270,12 @@
 
     fn read_report_lag(&mut self, now: f64) {
         if let Some(lag) = self.usage_reports.lag(now) {
-            self.read_head(Signal::ReportLag, lag.lag_s, lag.read_at);
+            self.record_head_reading(Signal::ReportLag, lag.lag_s, lag.read_at);
         }
     }
 }
 
-/// What an attempt's outcome tells of whether the node is alive.
+/// Classifies an attempt's outcome as evidence of whether the node is alive.
 fn attempt_end(outcome: AttemptOutcome) -> AttemptEnd {
     match outcome {
         AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Rejected => AttemptEnd::Answered,
@@ -281,7 +286,7 @@
     }
 }
 
-/// What the levels in force admit, as the scheduler is notified of it.
+/// Converts the admission of the levels in force to the type that the scheduler is notified with.
 fn shedding_level(admission: EffectiveAdmission) -> SheddingLevel {
     let mut zone_admission = Vec::new();
     for (zone, table) in admission.zones {
@@ -302,8 +307,8 @@
     classes
 }
 
-/// The scheduler's word for an admission. The two are apart since neither crate may know the other; a case that is
-/// missing here does not compile.
+/// Converts an admission to the scheduler's type. The types are separate because neither of their modules depends on
+/// the other. The match is exhaustive, so that a variant added to the levels' type must be handled here.
 fn scheduler_admission(admission: LevelAdmission) -> Admission {
     match admission {
         LevelAdmission::All => Admission::All,
--- a/src/shedding/pending_requests.rs
+++ b/src/shedding/pending_requests.rs
@@ -1,29 +1,30 @@
-//! The requests that the scheduler holds, for the signals on their number and age.
+//! Tracks the pending requests, for [`Signal::Pending`](flaxgap_load_shedding::Signal::Pending) and
+//! [`Signal::OldestPendingAge`](flaxgap_load_shedding::Signal::OldestPendingAge).
 
 use crate::scheduler::{IoRequest, RequestId, VolumeId};
 use std::collections::BTreeMap;
 
-/// Seconds past a client's timeout after which a request that never ended is forgotten.
-const FORGOTTEN_AFTER_S: f64 = 60.0;
-/// Least client timeout that an age is taken relative to, in seconds.
+/// Seconds after a client's timeout at which a request is removed if no event has reported its end.
+const EXPIRY_AFTER_TIMEOUT_S: f64 = 60.0;
+/// Lower bound of a client's timeout in seconds when the relative age is computed, which avoids a division by 0.
 const MIN_TIMEOUT_S: f64 = 1e-3;
 
-/// One pending request.
+/// A request that has arrived and has not ended.
 struct PendingRequest {
     arrived_at: f64,
     timeout_s: f64,
     volume: VolumeId,
     was_sent: bool,
-    /// Whether its body is being streamed: the age of such a request says nothing of the head.
+    /// Whether the request's body is being streamed. The age of such a request does not indicate overload of the head.
     is_streaming: bool,
 }
 
 impl PendingRequest {
-    fn is_forgotten(&self, now: f64) -> bool {
-        !self.is_streaming && now - self.arrived_at > self.timeout_s + FORGOTTEN_AFTER_S
+    fn is_expired(&self, now: f64) -> bool {
+        !self.is_streaming && now - self.arrived_at > self.timeout_s + EXPIRY_AFTER_TIMEOUT_S
     }
 
-    /// Its age, as a fraction of its client's timeout.
+    /// The request's age as a fraction of its client's timeout.
     fn relative_age(&self, now: f64) -> f64 {
         (now - self.arrived_at) / self.timeout_s.max(MIN_TIMEOUT_S)
     }
@@ -32,12 +33,12 @@
 /// The pending requests of one head.
 pub(super) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// The most that clients can have open.
+    /// The maximum number of requests that clients can have open.
     max: usize,
 }
 
 impl PendingRequests {
-    /// Starts without requests; `max` is the most that clients can have open.
+    /// Creates an empty set. `max` is the maximum number of requests that clients can have open.
     pub(super) fn new(max: usize) -> PendingRequests {
         PendingRequests { requests: BTreeMap::new(), max }
     }
@@ -47,7 +48,7 @@
         self.requests.len()
     }
 
-    /// Adds a request that arrived now.
+    /// Adds a request that arrived at `now`.
     pub(super) fn add(&mut self, now: f64, request: &IoRequest) {
         let pending = PendingRequest {
             arrived_at: now,
@@ -64,14 +65,14 @@
         self.requests.remove(&request);
     }
 
-    /// Records that a request's body is being streamed.
+    /// Records that streaming of a request's body has started.
     pub(super) fn set_streaming(&mut self, request: RequestId) {
         if let Some(pending) = self.requests.get_mut(&request) {
             pending.is_streaming = true;
         }
     }
 
-    /// Records that an attempt of a request was sent. Returns whether it was the first of a pending request.
+    /// Records that an attempt of a request was sent. Returns whether this was the first attempt of a pending request.
     pub(super) fn record_sent(&mut self, request: RequestId) -> bool {
         let Some(pending) = self.requests.get_mut(&request) else { return false };
         let is_first = !pending.was_sent;
@@ -79,22 +80,23 @@
         is_first
     }
 
-    /// The volume of a pending request.
+    /// The volume of a request, or `None` if the request is not pending.
     pub(super) fn volume(&self, request: RequestId) -> Option<VolumeId> {
         Some(self.requests.get(&request)?.volume)
     }
 
-    /// Removes requests whose end was never seen.
-    pub(super) fn forget_lost(&mut self, now: f64) {
-        self.requests.retain(|_, pending| !pending.is_forgotten(now));
+    /// Removes requests that are long past their client's timeout and whose end was not reported.
+    pub(super) fn remove_expired(&mut self, now: f64) {
+        self.requests.retain(|_, pending| !pending.is_expired(now));
     }
 
-    /// The number of pending requests, as a fraction of the most that clients can have open.
+    /// The number of pending requests, as a fraction of the maximum that clients can have open.
     pub(super) fn fill_fraction(&self) -> f64 {
         self.requests.len() as f64 / self.max.max(1) as f64
     }
 
-    /// The highest age of a request that is not being streamed, as a fraction of its client's timeout.
+    /// The highest age of a request that is not being streamed, as a fraction of its client's timeout. 0 without such a
+    /// request.
     pub(super) fn max_relative_age(&self, now: f64) -> f64 {
         let waiting = self.requests.values().filter(|pending| !pending.is_streaming);
         waiting.map(|pending| pending.relative_age(now)).fold(0.0, f64::max)
--- a/src/shedding/reserved_work.rs
+++ b/src/shedding/reserved_work.rs
@@ -1,22 +1,23 @@
-//! How work within its volume's reserve is served, by zone and class, for the signals on latency objectives.
+//! Measures how requests within their volume's reserve are served, by zone and class, for
+//! [`Signal::ObjectiveMet`] and [`Signal::Delay`].
 
 use crate::scheduler::{ClassId, ReservedWorkStats, ZoneId};
 use flaxgap_load_shedding::measurement::sliding_sums::SlidingSums;
 use flaxgap_load_shedding::{ClassSelector, LevelManager, Scope, Signal};
 use std::collections::BTreeMap;
 
-/// Steps of a sliding span: an eighth of it may be counted too long.
+/// Number of steps of a sliding span. Values stay in the sums for up to one step longer than the span.
 const SPAN_STEPS: f64 = 8.0;
 
-/// The zone that a request was served in, if one is known, and its class.
+/// The zone in which a request was served, if known, and the request's class.
 type ZoneAndClass = (Option<ZoneId>, ClassId);
 
-/// Sums over a span that fractions and means are taken of.
+/// Creates empty sums over a span of `span_s` seconds.
 pub(super) fn sliding_sums(span_s: f64) -> SlidingSums {
     SlidingSums::new(span_s, span_s / SPAN_STEPS)
 }
 
-/// The sliding sums of one zone and class, both over completed requests.
+/// The sliding sums of one zone and class. The total of both is the number of completed requests.
 struct ClassSums {
     met_objective: SlidingSums,
     delay_s: SlidingSums,
@@ -38,7 +39,7 @@
     }
 }
 
-/// Totals over the span.
+/// The totals of completed requests over the span.
 #[derive(Clone, Copy, Default)]
 struct ClassTotals {
     met_objective: f64,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Turns the scheduler's counts since its start into readings over a span.
+/// Computes readings over a sliding span from the scheduler's totals since its start.
 pub(super) struct ReservedWork {
     latency_objectives_s: Vec<f64>,
     last_stats: BTreeMap<ZoneAndClass, ReservedWorkStats>,
@@ -62,17 +63,17 @@
 }
 
 impl ReservedWork {
-    /// Starts without counts; the objectives are those of the classes, by number.
+    /// Creates a measurement without requests. The index of an objective is the number of its class.
     pub(super) fn new(latency_objectives_s: Vec<f64>) -> ReservedWork {
         ReservedWork { latency_objectives_s, last_stats: BTreeMap::new(), sums: BTreeMap::new() }
     }
 
-    /// Begins the sums anew, as for another span.
+    /// Clears the sums. Later ones use the span that is then passed to [`ReservedWork::record`].
     pub(super) fn clear_sums(&mut self) {
         self.sums.clear();
     }
 
-    /// Adds what was counted since the last call.
+    /// Adds the difference between the scheduler's totals and those of the last call.
     pub(super) fn record(
         &mut self,
         now: f64,
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Makes the readings of each zone, and of the head over all work that no zone's own level accounts for.
+    /// Records the readings of each zone and of the head. Zones above `normal` are left out of the head's readings,
+    /// since work that such a zone does not serve is no load on the head.
     pub(super) fn read(&mut self, now: f64, levels: &mut LevelManager) {
         let min_requests = levels.settings().min_requests;
         let mut head: BTreeMap<ClassId, ClassTotals> = BTreeMap::new();
@@ -116,7 +118,7 @@
     }
 }
 
-/// A class's latency objective; none can be missed of a class that is not known.
+/// The latency objective of a class, in seconds. Infinite for an unknown class, whose relative delay is then 0.
 fn objective_s(objectives_s: &[f64], class: ClassId) -> f64 {
     objectives_s.get(class.0).copied().unwrap_or(f64::INFINITY)
 }
--- a/src/shedding/usage_reports.rs
+++ b/src/shedding/usage_reports.rs
@@ -1,13 +1,14 @@
-//! The usage reports that nodes send with their responses, for the signal on their lag.
+//! Tracks the usage reports that nodes send with their responses, for
+//! [`Signal::ReportLag`](flaxgap_load_shedding::Signal::ReportLag).
 
 use crate::scheduler::VolumeId;
 use flaxgap_load_shedding::measurement::report_lag::ReportLag;
 use std::collections::BTreeMap;
 
-/// Seconds that a volume's last report is kept.
-const KEPT_FOR_S: f64 = 60.0;
-/// Seconds that a report's own stamp may be ahead of the clock.
-const STAMP_TOLERANCE_S: f64 = 0.5;
+/// Seconds for which the last report on a volume is retained.
+const REPORT_RETENTION_S: f64 = 60.0;
+/// Seconds by which a report's timestamp may be ahead of this head's clock.
+const TIMESTAMP_TOLERANCE_S: f64 = 0.5;
 
 /// The last report on one volume.
 #[derive(Clone, Copy)]
@@ -16,27 +17,27 @@
     received_at: f64,
 }
 
-/// A reading of the lag and when it was made.
+/// A reading of the lag.
 pub(super) struct LagSignal {
-    /// Seconds since the reports last told something new.
+    /// Seconds since the reports last contained new data.
     pub(super) lag_s: f64,
-    /// When the reading was made.
+    /// Time of the reading.
     pub(super) read_at: f64,
 }
 
-/// The last report on each volume.
+/// The last report on each volume, and the lag of all reports.
 pub(super) struct UsageReports {
     volumes: BTreeMap<VolumeId, VolumeReport>,
     lag: ReportLag,
 }
 
 impl UsageReports {
-    /// Starts without reports.
+    /// Creates an empty set of reports.
     pub(super) fn new() -> UsageReports {
-        UsageReports { volumes: BTreeMap::new(), lag: ReportLag::new(STAMP_TOLERANCE_S) }
+        UsageReports { volumes: BTreeMap::new(), lag: ReportLag::new(TIMESTAMP_TOLERANCE_S) }
     }
 
-    /// Records a report on a volume.
+    /// Records a report on a volume, received at `now`. A changed usage counts as new data.
     pub(super) fn record(&mut self, now: f64, volume: VolumeId, usage: f64) {
         let last = self.volumes.insert(volume, VolumeReport { usage, received_at: now });
         if last.is_none_or(|last| last.usage != usage) {
@@ -44,21 +45,21 @@
         }
     }
 
-    /// Removes old reports.
-    pub(super) fn forget_old(&mut self, now: f64) {
-        self.volumes.retain(|_, report| is_kept(report, now));
+    /// Removes reports that are older than [`REPORT_RETENTION_S`].
+    pub(super) fn remove_expired(&mut self, now: f64) {
+        self.volumes.retain(|_, report| is_retained(report, now));
     }
 
-    /// The lag now; none before the first report. It is known for as long as responses that should carry reports
-    /// come; afterwards the reading ages.
+    /// The lag at `now`, or `None` before the first report. While any report is retained, the reading is current.
+    /// Afterwards it keeps the time of the last new data, so that it becomes stale.
     pub(super) fn lag(&self, now: f64) -> Option<LagSignal> {
         let reading = self.lag.reading(now)?;
-        let is_known = self.volumes.values().any(|report| is_kept(report, now));
-        let read_at = if is_known { now } else { reading.last_report_at };
+        let has_recent_report = self.volumes.values().any(|report| is_retained(report, now));
+        let read_at = if has_recent_report { now } else { reading.last_report_at };
         Some(LagSignal { lag_s: reading.lag_s, read_at })
     }
 }
 
-fn is_kept(report: &VolumeReport, now: f64) -> bool {
-    now - report.received_at < KEPT_FOR_S
+fn is_retained(report: &VolumeReport, now: f64) -> bool {
+    now - report.received_at < REPORT_RETENTION_S
 }
