--- a/crates/load-shedding/src/evaluation_window/tests.rs
+++ b/crates/load-shedding/src/evaluation_window/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_window_needs_to_be_covered_and_unknown_results_do_not_hold() {
+fn a_fraction_needs_a_covered_window_and_unknown_results_do_not_hold() {
     let mut window = EvaluationWindow::new(1.0, 3);
     window.record(0.0, ConditionResult::Holds);
     assert_eq!(window.fraction_holding(0.9), None);
@@ -19,5 +19,5 @@
     window.clear();
     window.record(3.0, ConditionResult::Holds);
     window.record(13.0, ConditionResult::Holds);
-    assert_eq!(window.fraction_holding(13.0), None, "two evaluations ten seconds apart are no evidence");
+    assert_eq!(window.fraction_holding(13.0), None, "two results ten seconds apart are too few");
 }
--- a/crates/load-shedding/src/signal.rs
+++ b/crates/load-shedding/src/signal.rs
@@ -1,4 +1,4 @@
-//! The signals of a head and their latest readings. A stale or missing reading neither enters a level nor leaves one.
+//! The signals of a head and their latest readings. A stale or missing reading satisfies no condition.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/load-shedding/src/signal/tests.rs
+++ b/crates/load-shedding/src/signal/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn names_are_read_back() {
+fn every_signal_name_is_parsed_to_its_signal() {
     let classes = ["read".to_string(), "save".to_string()];
     let unclassed = UNCLASSED_NAMES.iter().map(|(_, signal)| *signal);
     let classed = [
--- a/src/exclusions.rs
+++ b/src/exclusions.rs
@@ -20,7 +20,8 @@
     /// Names of the excluded nodes.
     #[serde(rename = "out")]
     excluded: BTreeSet<String>,
-    /// When nodes were readmitted, in Unix time, by node name. Such a node counts as restarted at that time.
+    /// When nodes were readmitted, in Unix time, by node name. A readmitted node has been restarted, so it counts as
+    /// started at this time or later.
     #[serde(rename = "back")]
     readmitted_at: BTreeMap<String, f64>,
 }
--- a/src/shedding/reserved_work.rs
+++ b/src/shedding/reserved_work.rs
@@ -68,7 +68,7 @@
         ReservedWork { latency_objectives_s, last_stats: BTreeMap::new(), sums: BTreeMap::new() }
     }
 
-    /// Clears the sums. Later ones use the span that is then passed to [`ReservedWork::record`].
+    /// Clears the sums. New sums use the span that is passed to [`ReservedWork::record`].
     pub(super) fn clear_sums(&mut self) {
         self.sums.clear();
     }
