--- a/src/daemon/build.rs
+++ b/src/daemon/build.rs
@@ -1,4 +1,4 @@
-//! Builds the parts that all frontends share, in the order in which they depend on each other.
+//! Builds the components that all frontends share, in the order of their dependencies.
 
 use super::DaemonError;
 use super::listeners::{AddressUse, FrontendAddresses, ListenAddress, listen};
@@ -30,24 +30,24 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// Settings of the parts that are off by default, checked against the configuration.
+/// Settings of the optional components, checked against the configuration. `None` turns a component off.
 pub(super) struct OptionalSettings {
-    /// Load shedding.
+    /// Settings of load shedding.
     pub(super) shedding: Option<flaxgap_load_shedding::SheddingSettings>,
-    /// The frontend for HTTP/2.
+    /// Settings of the HTTP/2 frontend.
     pub(super) http2: Option<Http2>,
-    /// The relays to follow in place of discovery.
+    /// Settings of the relays that the head follows instead of discovery.
     pub(super) distribution: Option<DistributionSettings>,
-    /// The block frontend's target.
+    /// The iSCSI target of the block frontend.
     pub(super) block_target: Option<Target>,
 }
 
 impl OptionalSettings {
-    /// Reads them from the operators' file and from the block frontend's file.
+    /// Reads and checks the optional settings of the operators' file, and the block frontend's file if there is one.
     ///
     /// # Errors
     ///
-    /// [`DaemonError::OperatorsFile`] or [`DaemonError::Block`] if a file can't be served.
+    /// [`DaemonError::OperatorsFile`] or [`DaemonError::Block`] if a file can't be read or holds invalid settings.
     pub(super) fn check(
         operators_file: &OperatorsFile,
         block_file: Option<String>,
@@ -62,7 +62,7 @@
         Ok(OptionalSettings { shedding, http2, distribution, block_target })
     }
 
-    /// Where the frontends listen.
+    /// The listening addresses of the frontends; `http` is the address of the HTTP/1.1 frontend.
     pub(super) fn frontend_addresses(&self, http: SocketAddr) -> FrontendAddresses {
         FrontendAddresses {
             http,
@@ -72,45 +72,45 @@
     }
 }
 
-/// What the parts are built from.
+/// Input of [`Parts::build`].
 pub(super) struct BuildInput<'a> {
-    /// The configuration.
+    /// The head's configuration.
     pub(super) config: &'a Config,
     /// Whether the endpoint list comes from relays.
     pub(super) follows_relays: bool,
-    /// The folder that the processes of this head share, if there is one.
+    /// The folder in which the processes of this head share state, if one is configured.
     pub(super) state_folder: Option<&'a Path>,
-    /// The phase of the program.
+    /// Lifecycle of the process.
     pub(super) lifecycle: Rc<Lifecycle>,
-    /// The counters.
+    /// Counters of the head.
     pub(super) counters: Rc<Counters>,
 }
 
-/// The parts that all frontends share.
+/// The components that all frontends share.
 #[derive(Clone)]
 pub(super) struct Parts {
-    /// Requests in hand, and the scheduler that decides on them.
+    /// Pending requests and the scheduler.
     pub(super) dispatcher: Rc<Dispatcher>,
-    /// The budget of file descriptors.
+    /// Budget of file descriptors.
     pub(super) descriptors: Rc<DescriptorBudget>,
-    /// The memory for bodies.
+    /// Memory budget for request and response bodies.
     pub(super) memory: Rc<BodyMemory>,
-    /// Connections to nodes.
+    /// Transport of requests to nodes, with its connection pools.
     pub(super) nodes: Rc<NodeTransport>,
-    /// The endpoint list.
+    /// Endpoint directory, which holds the endpoint list in use.
     pub(super) directory: Rc<EndpointDirectory>,
-    /// Load shedding.
+    /// Load-shedding controller.
     pub(super) shedding: Rc<SheddingController>,
-    /// The connection to other processes of this head.
+    /// Handover between the processes of this head.
     pub(super) handover: Rc<Handover>,
-    /// The phase of the program.
+    /// Lifecycle of the process.
     pub(super) lifecycle: Rc<Lifecycle>,
-    /// The counters.
+    /// Counters of the head.
     pub(super) counters: Rc<Counters>,
 }
 
 impl Parts {
-    /// Builds the parts; the scheduler's clock starts here.
+    /// Builds the components and starts the scheduler's clock.
     ///
     /// # Errors
     ///
@@ -172,11 +172,11 @@
         })
     }
 
-    /// Starts the admin server, which answers from the start on.
+    /// Starts the admin server. It answers requests in every phase, also before the head is ready.
     ///
     /// # Errors
     ///
-    /// [`DaemonError::Listen`] if its address can't be listened on.
+    /// [`DaemonError::Listen`] if `address` can't be listened on.
     pub(super) fn start_admin_server(&self, address: SocketAddr) -> Result<(), DaemonError> {
         let listener = listen(ListenAddress { address, frontend: "ops" }, None, AddressUse::Exclusive)?;
         let server = AdminServer::new(
@@ -190,7 +190,7 @@
         Ok(())
     }
 
-    /// What the frontends for HTTP share.
+    /// Creates the context that the HTTP/1.1 and HTTP/2 frontends share.
     pub(super) fn frontend_context(&self, wire_settings: WireSettings) -> Rc<FrontendContext<NodeTransport>> {
         Rc::new(FrontendContext {
             dispatcher: self.dispatcher.clone(),
@@ -203,7 +203,7 @@
         })
     }
 
-    /// Starts the block frontend, if it is on.
+    /// Starts the block frontend if it is configured.
     pub(super) fn start_block_frontend(
         &self,
         listener: Option<Rc<TcpListener>>,
@@ -223,11 +223,11 @@
         spawn_local(frontend.listen(listener));
     }
 
-    /// Starts the exports of counters and loads the plug-in, as far as the operators' file names them.
+    /// Starts the exporters and loads the plug-in that the operators' file configures.
     ///
     /// # Errors
     ///
-    /// [`DaemonError::Plugin`] if the plug-in can't be used.
+    /// [`DaemonError::Plugin`] if the plug-in's script can't be read or compiled.
     pub(super) fn start_observers(&self, operators_file: &OperatorsFile) -> Result<(), DaemonError> {
         if let Some(graphite) = operators_file.graphite.clone() {
             spawn_local(export::run_graphite(graphite, self.counters.clone()));
@@ -242,7 +242,8 @@
     }
 }
 
-/// When the head asks for the endpoint list.
+/// The schedule on which the head polls the endpoint list. Polling heads and heads that follow relays share a server with
+/// other heads; otherwise the source is an agent of the head's own.
 fn poll_schedule(config: &Config, follows_relays: bool) -> PollSchedule {
     let is_shared = config.settings.poll_interval_s.is_some() || follows_relays;
     PollSchedule::new(
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -1,5 +1,5 @@
-//! The graceful shutdown after SIGTERM or SIGINT: what was taken is answered, and connections that clients open
-//! meanwhile are served, until the platform would end the process.
+//! Graceful shutdown after SIGTERM or SIGINT: completes all accepted requests, and keeps accepting connections until
+//! shortly before the platform would kill the process.
 
 use super::build::Parts;
 use super::listeners::accept_queued;
@@ -8,32 +8,33 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// How long new connections are accepted at least: the platform sends no SIGKILL before it is over.
+/// Minimum time for which new connections are still accepted. The platform does not send SIGKILL within this time.
 const MIN_ACCEPTING: Duration = Duration::from_millis(700);
-/// The longest request deadline, in seconds, that the platform waits out past [`MIN_ACCEPTING`].
+/// Maximum time, in seconds, that the platform waits after [`MIN_ACCEPTING`] for requests to complete.
 const MAX_GRACE_S: f64 = 3.0;
-/// How long before the end connections begin to close. Until then clients go on using the connections they
-/// have, and find no other head for their volumes.
+/// Time before the end of the shutdown at which connections start to close. Not earlier, since clients that lose their
+/// connection find no other head for their volumes.
 const CLOSE_CONNECTIONS_BEFORE_END: Duration = Duration::from_millis(450);
-/// How long before the end all requests must be answered, so that the last answers reach their clients.
+/// Time before the end of the shutdown by which all requests must be answered, so that the last responses still reach
+/// their clients.
 const LAST_ANSWER_BEFORE_END: Duration = Duration::from_millis(100);
-/// Pause after the system failed to accept a connection, in which a descriptor may be freed.
+/// Pause after a failed `accept`, in which file descriptors may become free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// The moments of one graceful shutdown.
+/// The points in time of one graceful shutdown.
 struct DrainSchedule {
-    /// Until then new connections are accepted in any case.
+    /// New connections are accepted at least until this time, unless a newer process accepts them.
     accepting_until: Instant,
-    /// From then on connections close.
+    /// Connections start to close at this time.
     close_connections_at: Instant,
-    /// By then all requests are answered.
+    /// Deadline for the answers to all requests.
     last_answer_by: Instant,
-    /// By then the program ends.
+    /// The shutdown ends at this time even if connections are still open.
     end: Instant,
 }
 
 impl DrainSchedule {
-    /// The schedule of a shutdown that starts now, for requests with deadlines up to `longest_deadline_s`.
+    /// Schedules a shutdown that starts now. `longest_deadline_s` is the longest request deadline, in seconds.
     fn starting_now(longest_deadline_s: f64) -> DrainSchedule {
         let accepting_until = Instant::now() + MIN_ACCEPTING;
         let end = accepting_until + crate::core::seconds(longest_deadline_s.min(MAX_GRACE_S));
@@ -46,14 +47,15 @@
     }
 }
 
-/// Serves to the end: accepts until connections have to close, answers what was taken, closes the listeners.
+/// Shuts the process down: accepts connections until they have to close, completes the accepted requests, and closes the
+/// listening sockets. Returns when all client connections are closed, or at the end of the schedule.
 pub(super) async fn drain(parts: &Parts, server: Server, longest_deadline_s: f64) {
     parts.lifecycle.enter(Phase::Draining);
     let schedule = DrainSchedule::starting_now(longest_deadline_s);
     parts.dispatcher.set_shutdown_deadline(schedule.last_answer_by);
     serve_until_connections_close(parts, &server, &schedule).await;
     parts.lifecycle.close_idle_connections();
-    accept_what_is_queued(parts, &server, schedule.end).await;
+    accept_queued_connections(parts, &server, schedule.end).await;
     drop(server);
     parts.handover.close_sockets();
     if timeout_at(schedule.end, parts.lifecycle.connections_closed()).await.is_err() {
@@ -62,39 +64,40 @@
     parts.lifecycle.enter(Phase::Stopped);
 }
 
-/// Accepts connections until they have to close, all have closed, or a newer process accepts them.
+/// Accepts connections until the scheduled time to close them, until no connection is open, or until a newer process
+/// accepts connections in place of this one.
 async fn serve_until_connections_close(parts: &Parts, server: &Server, schedule: &DrainSchedule) {
     let all_closed = async {
         sleep_until(schedule.accepting_until).await;
         parts.lifecycle.connections_closed().await;
     };
     tokio::select! {
-        // Never: `listen` does not return.
+        // Unreachable: `listen` never returns.
         () = server.listen() => {}
         () = sleep_until(schedule.close_connections_at) => {}
         () = all_closed => {}
-        // Clients find the newer process at once.
+        // New connections reach the newer process through the shared accept queue.
         () = parts.handover.wait_for_newer_in_service() => {}
     }
 }
 
-/// Accepts what the system has queued, since that counts as taken; a newer process, if there is one, does it in
-/// this one's place.
-async fn accept_what_is_queued(parts: &Parts, server: &Server, end: Instant) {
+/// Accepts the connections in the kernel's accept queue, which closing the listening socket would reset. Does nothing if
+/// a newer process accepts them.
+async fn accept_queued_connections(parts: &Parts, server: &Server, end: Instant) {
     while !parts.handover.newer_in_service() {
-        // Idle connections are closing, so a slot will be free; what is queued until then is not reset.
+        // Waits for a slot: idle connections are closing, so one becomes free, and queued connections stay open meanwhile.
         let Ok(slot) = timeout_at(end, parts.descriptors.client_slot()).await else { break };
         match accept_queued(&server.listener) {
             Ok(Some(stream)) => server.frontend.admit(stream, slot),
             Ok(None) => break,
-            Err(problem) if Instant::now() < end => {
-                log::warn!("http: accept: {problem}");
+            Err(error) if Instant::now() < end => {
+                log::warn!("http: accept: {error}");
                 drop(slot);
                 parts.descriptors.close_idle_connection();
                 sleep(ACCEPT_PAUSE).await;
             }
-            Err(problem) => {
-                log::error!("http: accept: {problem}; what waits is reset");
+            Err(error) => {
+                log::error!("http: accept: {error}; what waits is reset");
                 break;
             }
         }
--- a/src/daemon/endpoint_list.rs
+++ b/src/daemon/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list at the start: the cached list of an earlier process, the first list from the source, and
-//! the moment from which the head serves.
+//! The endpoint list at startup. The head starts to serve with the first list from the source, or with the cached list of
+//! an earlier process if the source does not answer in time.
 
 use super::DaemonError;
 use crate::config::Config;
@@ -14,20 +14,20 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Where the endpoint list comes from.
+/// Source of the endpoint list.
 pub(super) enum EndpointListSource {
-    /// Discovery, at the address that the configuration names.
+    /// Discovery, at the configured address; a reload may change it.
     Discovery(watch::Receiver<SocketAddr>),
-    /// Relays.
+    /// The relays named in the operators' file.
     Relays(Box<RelayFollower>),
 }
 
 impl EndpointListSource {
-    /// Relays where the operators' file names them, and discovery otherwise.
+    /// Selects the relays if the operators' file configures them, and discovery otherwise.
     ///
     /// # Errors
     ///
-    /// [`DaemonError::Relays`] if the relays can't be followed.
+    /// [`DaemonError::Relays`] if the list of relays is invalid.
     pub(super) fn new(
         relays: Option<DistributionSettings>,
         discovery: watch::Receiver<SocketAddr>,
@@ -39,7 +39,7 @@
         Ok(EndpointListSource::Relays(Box::new(follower)))
     }
 
-    /// Follows the source for as long as it is polled.
+    /// Applies the source's lists to the directory. Never returns.
     async fn follow(self, directory: &Rc<EndpointDirectory>, cached_list_serves: bool) {
         match self {
             EndpointListSource::Discovery(address) => directory.follow(address, cached_list_serves).await,
@@ -48,8 +48,8 @@
     }
 }
 
-/// Follows the endpoint list, and calls `serve` once the head has a list that it can serve with: the first one
-/// from the source, or after a timeout the cached one.
+/// Follows the endpoint list, and calls `serve` once the head has a list to serve with: the first one from the source,
+/// or the cached one if the source does not answer within the start timeout. Never returns.
 pub(super) async fn follow_endpoint_list(
     directory: Rc<EndpointDirectory>,
     cached_list: Option<serde_json::Value>,
@@ -68,13 +68,13 @@
     }
 }
 
-/// Applies the cached list, if there is one; whether the head can serve with it.
+/// Applies the cached list, if there is one. Returns whether the head can serve with it: it parses and has endpoints.
 fn apply_cached_list(directory: &Rc<EndpointDirectory>, cached_list: Option<serde_json::Value>) -> bool {
     let Some(cached_list) = cached_list else { return false };
     let list = match EndpointList::from_value(cached_list) {
         Ok(list) => list,
-        Err(problem) => {
-            log::warn!("daemon: known list: {problem}");
+        Err(error) => {
+            log::warn!("daemon: known list: {error}");
             return false;
         }
     };
@@ -83,7 +83,7 @@
     has_endpoints
 }
 
-/// Waits for the first list from the source; with a cached list, no longer than the timeout at the start.
+/// Waits for the first list from the source. With a usable cached list, waits at most for the start timeout.
 async fn wait_for_list(directory: &EndpointDirectory, cached_list_serves: bool) {
     if !cached_list_serves {
         directory.synced().await;
@@ -92,10 +92,11 @@
     }
 }
 
-/// What the log says in addition where relays are followed: the cached list's version and age, and how many
-/// relays answer.
+/// Text that a head with relays appends to the log line: version and age of the cached list, and the number of reachable
+/// relays. Empty for a head that follows discovery.
 fn relay_details(directory: &EndpointDirectory) -> String {
     let Some(relays) = directory.relays_reachable() else { return String::new() };
-    let relays = if relays == 0 { "no relay is reachable".into() } else { format!("{relays} relays speak") };
+    let relays =
+        if relays == 0 { "no relay is reachable".into() } else { format!("{relays} relays are reachable") };
     format!(": version {}, read {:?} ago; {relays}", directory.version(), directory.list_age())
 }
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the program.
+//! Errors that end the process.
 
 use crate::config::operators_file::OperatorsFileError;
 use crate::frontend::block::config::BlockConfigError;
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A task that runs as long as the program. It ends early only if it panics.
+/// A task that runs for the lifetime of the process. It ends early only if it panics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackgroundTask {
-    /// Drives the scheduler's timers.
+    /// Runs the scheduler's timers.
     SchedulerClock,
     /// Evaluates the signals of load shedding.
     LoadShedding,
@@ -34,28 +34,28 @@
     }
 }
 
-/// Why the program can't start or go on.
+/// An error that prevents the process from starting or from continuing to serve.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// The listener can't be opened.
+    /// A listening socket can't be opened on the address.
     #[error("listen on {0}: {1}")]
     Listen(SocketAddr, #[source] io::Error),
-    /// A background task has ended.
+    /// A background task ended before the process did.
     #[error("{0} broke down")]
     TaskEnded(BackgroundTask),
-    /// Signals can't be waited for.
-    #[error("signals: {0}")]
+    /// A signal handler can't be installed.
+    #[error("installing signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The block file can't be served.
+    /// The block frontend's file is invalid.
     #[error(transparent)]
     Block(#[from] BlockConfigError),
-    /// The plug-in can't be used.
+    /// The plug-in's script can't be read or compiled.
     #[error(transparent)]
     Plugin(#[from] PluginError),
-    /// The operators' file can't be used.
+    /// The operators' file can't be read or is invalid.
     #[error(transparent)]
     OperatorsFile(#[from] OperatorsFileError),
-    /// The relays can't be followed.
+    /// The list of relays is invalid.
     #[error("relays: {0}")]
     Relays(#[from] RelayListError),
     /// The scheduler rejects its settings.
--- a/src/daemon/listeners.rs
+++ b/src/daemon/listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets on which clients connect: received from an older process, or opened here.
+//! Listening sockets of the frontends, received from an older process or opened by this one.
 
 use super::DaemonError;
 use std::io;
@@ -6,57 +6,57 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that the system queues until they are accepted: as many as a burst of clients may open at once.
+/// Length of the kernel's accept queue: the number of connections that clients may open in one burst.
 const BACKLOG: u32 = 1024;
 
-/// Where a frontend listens.
+/// The listening address of a frontend.
 #[derive(Clone, Copy)]
 pub(super) struct ListenAddress {
-    /// The address and port.
+    /// IP address and port.
     pub(super) address: SocketAddr,
-    /// The frontend's name in the log.
+    /// Name of the frontend in log lines.
     pub(super) frontend: &'static str,
 }
 
-/// Whether another process of this head may listen on the same address.
+/// Whether other processes of this head may listen on the same address.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AddressUse {
-    /// This process alone.
+    /// Only this process listens on the address.
     Exclusive,
-    /// Any process of this head (`SO_REUSEPORT`).
+    /// Other processes of this head may listen on the address too (`SO_REUSEPORT`).
     Shared,
 }
 
 impl AddressUse {
-    /// The use of a frontend's address: shared where a newer process can take over.
-    pub(super) fn of_head(handover_possible: bool) -> AddressUse {
+    /// The use of the frontends' addresses: shared if a newer process can take over.
+    pub(super) fn for_frontends(handover_possible: bool) -> AddressUse {
         if handover_possible { AddressUse::Shared } else { AddressUse::Exclusive }
     }
 }
 
-/// Where each frontend listens; an optional frontend that is off has no address.
+/// Listening addresses of the frontends; `None` for a frontend that is off.
 pub(super) struct FrontendAddresses {
-    /// HTTP/1.1.
+    /// Address of the HTTP/1.1 frontend.
     pub(super) http: SocketAddr,
-    /// HTTP/2.
+    /// Address of the HTTP/2 frontend.
     pub(super) http2: Option<SocketAddr>,
-    /// The block protocol.
+    /// Address of the block frontend (iSCSI).
     pub(super) block: Option<SocketAddr>,
 }
 
-/// The open listeners of the frontends.
+/// Open listening sockets of the frontends.
 pub(super) struct Listeners {
-    /// HTTP/1.1.
+    /// Socket of the HTTP/1.1 frontend.
     pub(super) http: Rc<TcpListener>,
-    /// HTTP/2, if it is on.
+    /// Socket of the HTTP/2 frontend, if it is on.
     pub(super) http2: Option<Rc<TcpListener>>,
-    /// The block protocol, if it is on.
+    /// Socket of the block frontend, if it is on.
     pub(super) block: Option<Rc<TcpListener>>,
 }
 
 impl Listeners {
-    /// Opens the listeners. Sockets `received` from an older process are used where their address fits; they
-    /// are assigned in the order HTTP/1.1, HTTP/2, block, in which [`Listeners::all`] lists them.
+    /// Opens the listening sockets. The sockets `received` from an older process are assigned in the order of
+    /// [`Listeners::all`]: HTTP/1.1, HTTP/2, block. One that is bound to another address is replaced by a new socket.
     ///
     /// # Errors
     ///
@@ -77,7 +77,7 @@
         Ok(Listeners { http, http2, block })
     }
 
-    /// All listeners, in the order in which they are passed to a newer process.
+    /// All open listening sockets, in the order in which they are passed to a newer process.
     pub(super) fn all(&self) -> Vec<Rc<TcpListener>> {
         let mut all = vec![self.http.clone()];
         all.extend(self.http2.clone());
@@ -86,7 +86,7 @@
     }
 }
 
-/// Listens on an address, with the `received` socket if it is bound there and with a new one otherwise.
+/// Listens on an address. Uses the `received` socket if it is bound to that address, and a new one otherwise.
 ///
 /// # Errors
 ///
@@ -101,12 +101,12 @@
         Some(socket) => TcpListener::from_std(socket),
         None => bind(address, address_use),
     };
-    let listener = listener.map_err(|problem| DaemonError::Listen(address, problem))?;
+    let listener = listener.map_err(|error| DaemonError::Listen(address, error))?;
     log::info!("{frontend}: listening on {}", listener.local_addr().unwrap_or(address));
     Ok(listener)
 }
 
-/// Whether a socket listens on the address; port 0 stands for any port.
+/// Whether a socket is bound to `address`; port 0 matches any port.
 fn is_bound_to(socket: &std::net::TcpListener, address: SocketAddr) -> bool {
     socket
         .local_addr()
@@ -121,12 +121,12 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts a connection from the system's queue without waiting; `None` if the queue is empty. The system is
-/// asked directly because the runtime may not yet know of a connection that is queued.
+/// Accepts a connection from the kernel's accept queue without waiting; `None` if the queue is empty. Calls `accept` on
+/// the socket itself, because the runtime may not have polled the readiness of a queued connection yet.
 ///
 /// # Errors
 ///
-/// The system's error if it gives no connection, such as a shortage of descriptors.
+/// The error of `accept`, such as too many open files.
 pub(super) fn accept_queued(listener: &TcpListener) -> io::Result<Option<TcpStream>> {
     loop {
         match socket2::SockRef::from(listener).accept() {
@@ -134,10 +134,10 @@
                 socket.set_nonblocking(true)?;
                 return TcpStream::from_std(socket.into()).map(Some);
             }
-            Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => return Ok(None),
-            // Its client gave it up while it was queued: the next one.
-            Err(problem) if problem.kind() == io::ErrorKind::ConnectionAborted => {}
-            Err(problem) => return Err(problem),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
+            // The client closed this connection while it was queued; continue with the next one.
+            Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+            Err(error) => return Err(error),
         }
     }
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,9 +1,9 @@
-//! The program from its start to its exit.
+//! The head's process, from startup to exit.
 //!
-//! [`Daemon::run`] lists the steps: check the settings, build the parts, take over from an older process, open
-//! the listeners, start the frontends and the background tasks, serve until a signal asks for the shutdown, and
-//! drain. Their order matters: a newer process is in service from the moment that its endpoint list stands, and
-//! until then the older one accepts (see [`crate::handover`]).
+//! [`Daemon::run`] checks the settings, builds the shared components, takes over the sockets of an older process, opens
+//! the listeners, starts the frontends and background tasks, serves until a signal requests the shutdown, and drains.
+//! The order matters for upgrades: the older process accepts connections until this one has an endpoint list to serve
+//! with (see [`crate::handover`]).
 
 mod build;
 mod drain;
@@ -38,7 +38,7 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// The program.
+/// A head's process that has been configured but not started.
 pub struct Daemon {
     config_path: String,
     config: Config,
@@ -50,9 +50,12 @@
 }
 
 impl Daemon {
-    /// A program that has not started yet, with the configuration out of the file at `config_path`. `block_file`
-    /// names the block frontend's file; without it that frontend is off, as is all that `operators_file` does
-    /// not hold. `state_folder` is the folder that the processes of one head, and they alone, share.
+    /// Creates a daemon that has not started yet.
+    ///
+    /// `config` was read from the file at `config_path`, which a reload reads again. `block_file` is the path of the
+    /// block frontend's file; without it, the block frontend is off. Components that `operators_file` does not configure
+    /// are off. `state_folder` is shared by the processes of this head and by no others; without it, no state is kept and
+    /// no handover is possible.
     pub fn new(
         config_path: String,
         config: Config,
@@ -65,16 +68,16 @@
         Daemon { config_path, config, block_file, operators_file, state_folder, lifecycle, counters }
     }
 
-    /// The program's counters.
+    /// The counters of this head.
     pub fn counters(&self) -> Rc<Counters> {
         self.counters.clone()
     }
 
-    /// Runs until SIGTERM or SIGINT has been served to its end. Needs a local task set.
+    /// Serves until SIGTERM or SIGINT, then drains and returns. Must run inside a [`tokio::task::LocalSet`].
     ///
     /// # Errors
     ///
-    /// Settings that can't be served, an address that can't be listened on, or a background task that ended.
+    /// [`DaemonError`] if settings are invalid, an address can't be listened on, or a background task ended.
     pub async fn run(self, mut signals: Signals) -> Result<(), DaemonError> {
         let Daemon { config_path, config, block_file, operators_file, state_folder, lifecycle, counters } =
             self;
@@ -94,10 +97,10 @@
         }
 
         let received_sockets = parts.handover.take_over().await;
-        // Until this process is ready, an older one accepts.
+        // An older process that passed its sockets accepts connections until this one is ready.
         parts.lifecycle.set_accepting(received_sockets.is_empty());
         parts.shedding.configure(shedding);
-        let address_use = AddressUse::of_head(parts.handover.is_possible());
+        let address_use = AddressUse::for_frontends(parts.handover.is_possible());
         let listeners = Listeners::open(&addresses, received_sockets, address_use)?;
         let sockets = listeners.all();
         parts.start_block_frontend(listeners.block, block_target, config.seed);
@@ -128,12 +131,12 @@
     }
 }
 
-/// The longest deadline of a request, in seconds.
+/// The longest request deadline of all classes, in seconds.
 fn longest_deadline_s(config: &Config) -> f64 {
     config.settings.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max)
 }
 
-/// Starts the frontend for HTTP/2, if it is on.
+/// Starts the HTTP/2 frontend if it is configured.
 fn start_http2_frontend(
     listener: Option<Rc<TcpListener>>,
     settings: Option<Http2>,
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: reads the files again and applies what can change in a running program.
+//! Reload on SIGHUP: reads the configuration files again and applies the settings that can change at run time.
 
 use super::build::Parts;
 use crate::config::operators_file::{OperatorsFile, OperatorsFileError};
@@ -8,7 +8,7 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// Why the files can't be applied.
+/// An error that leaves the running settings unchanged.
 #[derive(Debug, Error)]
 enum ReloadError {
     #[error(transparent)]
@@ -17,40 +17,40 @@
     OperatorsFile(#[from] OperatorsFileError),
 }
 
-/// The files as read again, each part checked.
+/// The newly read configuration, with all settings checked.
 struct NewConfiguration {
     config: Config,
     operators_file: OperatorsFile,
     shedding: Option<flaxgap_load_shedding::SheddingSettings>,
 }
 
-/// The configuration that the program runs with, and the parts to which a new one is applied.
+/// The running configuration, and the components to which a new one is applied.
 pub(super) struct Reloader {
     /// Path of the configuration file.
     pub(super) config_path: String,
     /// The head's name.
     pub(super) name: String,
-    /// Where clients connect.
+    /// Listening address of the HTTP/1.1 frontend.
     pub(super) listen: SocketAddr,
-    /// The scheduler's settings.
+    /// Settings of the scheduler.
     pub(super) settings: SchedulerSettings,
-    /// The operators' file.
+    /// The operators' file as read at startup.
     pub(super) operators_file: OperatorsFile,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub(super) discovery: watch::Sender<SocketAddr>,
-    /// The parts.
+    /// The components that all frontends share.
     pub(super) parts: Parts,
 }
 
 impl Reloader {
-    /// Reads the files and applies limits, load shedding and discovery's address; the log names what else has
-    /// changed and takes a restart. If either file can't be used, nothing changes.
+    /// Reads the files and applies the limits, load shedding and the address of discovery. Logs a warning for each other
+    /// change, which needs a restart. If either file is invalid, nothing changes.
     pub(super) fn reload(&self) {
         let new = match self.read() {
             Ok(new) => new,
-            Err(problem) => {
+            Err(error) => {
                 self.parts.counters.reloads_failed.add();
-                log::error!("daemon: reload: {problem}; the running settings stay");
+                log::error!("daemon: reload: {error}; the running settings stay");
                 return;
             }
         };
@@ -93,8 +93,8 @@
         self.parts.descriptors.set_limit(config.limits.descriptors());
         self.parts.memory.set_limit(config.limits.memory_mb);
         if self.parts.shedding.configure(shedding) {
-            // The exclusions have not changed. A new monitor knows no node's state yet, and this call has the
-            // directory report all nodes again.
+            // The exclusions have not changed. This call makes the directory report the state of all nodes to the new
+            // load-shedding monitor, which starts without any.
             self.parts.directory.on_exclusions_changed();
         }
         log::info!("daemon: reloaded, discovery at {}", config.discovery);
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,4 +1,4 @@
-//! The running program: its background tasks, and the time in service until a signal asks for the shutdown.
+//! The background tasks, and the main loop that serves until a signal requests the shutdown.
 
 use super::build::Parts;
 use super::endpoint_list::{EndpointListSource, follow_endpoint_list};
@@ -12,22 +12,22 @@
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// The frontend for HTTP/1.1 with its listener.
+/// The HTTP/1.1 frontend with its listening socket.
 pub(super) struct Server {
-    /// The frontend.
+    /// The HTTP/1.1 frontend.
     pub(super) frontend: Rc<HttpFrontend<NodeTransport>>,
-    /// Where its clients connect.
+    /// The listening socket.
     pub(super) listener: Rc<TcpListener>,
 }
 
 impl Server {
-    /// Accepts clients for as long as it is polled; never returns.
+    /// Accepts client connections. Never returns.
     pub(super) async fn listen(&self) {
         self.frontend.clone().listen(&self.listener).await;
     }
 }
 
-/// The tasks without which the head can't serve: the program ends if one of them does while it serves.
+/// Tasks that the head can't serve without. If one of them ends while the head serves, the process exits with an error.
 pub(super) struct BackgroundTasks {
     scheduler_clock: JoinHandle<()>,
     load_shedding: JoinHandle<()>,
@@ -35,7 +35,7 @@
 }
 
 impl BackgroundTasks {
-    /// Starts the tasks.
+    /// Spawns the tasks.
     pub(super) fn start(parts: &Parts) -> BackgroundTasks {
         let dispatcher = parts.dispatcher.clone();
         let shedding = parts.shedding.clone();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Waits until one of the tasks ends, which it does only if it panics.
+    /// Waits until one of these tasks or `endpoint_list` ends, which happens only on a panic.
     async fn first_end(self, endpoint_list: JoinHandle<()>) -> BackgroundTask {
         tokio::select! {
             _ = self.scheduler_clock => BackgroundTask::SchedulerClock,
@@ -58,8 +58,8 @@
     }
 }
 
-/// Starts following the endpoint list. Once it stands, the head is ready: it accepts in place of an older
-/// process, and can pass its `sockets` to a newer one.
+/// Spawns the task that follows the endpoint list. Once there is a list to serve with, the head becomes ready: it accepts
+/// connections in place of an older process, and can pass its `sockets` to a newer one.
 pub(super) fn start_endpoint_list(
     parts: &Parts,
     cached_list: Option<serde_json::Value>,
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 ///
-/// [`DaemonError::TaskEnded`] if a background task has ended.
+/// [`DaemonError::TaskEnded`] if a background task ended.
 pub(super) async fn serve_until_shutdown(
     server: &Server,
     signals: &mut Signals,
@@ -88,14 +88,14 @@
     endpoint_list: JoinHandle<()>,
 ) -> Result<(), DaemonError> {
     tokio::select! {
-        // Never: `listen` does not return.
+        // Unreachable: `listen` never returns.
         () = server.listen() => Ok(()),
         () = handle_signals(signals, reloader) => Ok(()),
         task = tasks.first_end(endpoint_list) => Err(DaemonError::TaskEnded(task)),
     }
 }
 
-/// Handles signals until one asks for the shutdown.
+/// Handles signals until one requests the shutdown.
 async fn handle_signals(signals: &mut Signals, reloader: &Reloader) {
     loop {
         match signals.next().await {
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -1,12 +1,12 @@
-//! The signals that control the program.
+//! Unix signals that control the process.
 
 use super::DaemonError;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What a signal asks the program to do.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SignalCommand {
-    /// SIGTERM or SIGINT: drain and end.
+    /// SIGTERM or SIGINT: drain and exit.
     Shutdown,
     /// SIGHUP: read the configuration again.
     Reload,
@@ -14,8 +14,8 @@
     LogCounters,
 }
 
-/// The handlers of the signals that control the program. A signal that arrives before they are installed ends
-/// the process, so this is done first.
+/// Handlers of the signals that control the process. They are installed first during startup, because a signal without a
+/// handler kills the process.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -24,11 +24,11 @@
 }
 
 impl Signals {
-    /// Installs the handlers. Needs the runtime.
+    /// Installs the handlers. Must run inside a tokio runtime.
     ///
     /// # Errors
     ///
-    /// [`DaemonError::Signals`] if the system refuses a handler.
+    /// [`DaemonError::Signals`] if a handler can't be installed.
     pub fn install() -> Result<Signals, DaemonError> {
         let install = |kind| signal(kind).map_err(DaemonError::Signals);
         Ok(Signals {
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Waits for the next signal.
+    /// Waits for the next signal and returns the action that it requests.
     pub(super) async fn next(&mut self) -> SignalCommand {
         tokio::select! {
             _ = self.terminate.recv() => SignalCommand::Shutdown,
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -1,35 +1,37 @@
-//! The messages that two processes of a head exchange, and their codec: one line of text each. The texts stay
-//! as they are, since an older process hands over to a newer one and back.
+//! The messages that two processes of a head exchange during a handover, and their codec. Each message is one line of
+//! text.
+//!
+//! The texts must not change: upgrades and rollbacks hand over between processes of different versions.
 
 use thiserror::Error;
 
-/// Most bytes that a message may have; the longest has six. A peer that sends more without a line's end
-/// speaks something else.
+/// Maximum length of a message, in bytes; the longest one defined has 6. A peer that sends this many bytes without a
+/// line feed does not use this protocol.
 pub(super) const MAX_MESSAGE_BYTES: usize = 64;
 
-/// A message to the other process of this head.
+/// A message between two processes of the same head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Message {
-    /// The older process's first message, which carries its listening sockets.
+    /// First message of the older process; carries its listening sockets as ancillary data.
     Sockets,
-    /// The sender accepts connections from now on.
+    /// The sender has started to accept client connections.
     Ready,
-    /// An operator has changed which nodes are excluded.
+    /// An operator changed the node exclusions; the receiver reads them again.
     ExclusionsChanged,
-    /// An operator has changed which shedding levels are overridden.
+    /// An operator changed the overrides of shedding levels; the receiver reads them again.
     OverridesChanged,
 }
 
-/// A line that is no message of this version.
+/// A received line that is not a message known to this version.
 #[derive(Debug, Error)]
-#[error("an unknown message")]
+#[error("received a message unknown to this version")]
 pub(super) struct UnknownMessage;
 
 impl Message {
     const ALL: [Message; 4] =
         [Message::Sockets, Message::Ready, Message::ExclusionsChanged, Message::OverridesChanged];
 
-    /// The message on the wire, with its line's end.
+    /// Encodes the message, including the terminating line feed.
     pub(super) const fn encode(self) -> &'static [u8] {
         match self {
             Message::Sockets => b"here\n",
@@ -44,26 +46,26 @@
     }
 }
 
-/// Bytes received from the other process that are not yet decoded.
+/// Buffers received bytes and splits them into messages.
 #[derive(Default)]
 pub(super) struct MessageDecoder {
     buffer: Vec<u8>,
 }
 
 impl MessageDecoder {
-    /// Adds received bytes.
+    /// Appends received bytes to the buffer.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next complete line.
+    /// Decodes and removes the next complete line; `None` if the buffer holds no complete line.
     pub(super) fn next(&mut self) -> Option<Result<Message, UnknownMessage>> {
         let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
         let line: Vec<u8> = self.buffer.drain(..=end).collect();
         Some(Message::decode(&line))
     }
 
-    /// Whether the incomplete line that is left is too long for any message.
+    /// Whether the buffered incomplete line has reached [`MAX_MESSAGE_BYTES`], so that it can't be a message.
     pub(super) fn is_too_long(&self) -> bool {
         self.buffer.len() >= MAX_MESSAGE_BYTES
     }
--- a/src/handover/message/tests.rs
+++ b/src/handover/message/tests.rs
@@ -1,16 +1,18 @@
-//! Tests of the codec.
+//! Encoding and decoding of handover messages.
 
 use super::{MAX_MESSAGE_BYTES, Message, MessageDecoder};
 
-/// Guards against a change of what processes of earlier versions send and understand.
+/// Guards against a change to the encoding, which would break handovers to and from processes of earlier versions.
 #[test]
-fn the_texts_are_those_of_earlier_versions() {
+fn encoding_matches_earlier_versions() {
     let texts = Message::ALL.map(Message::encode);
     assert_eq!(texts, [&b"here\n"[..], b"ready\n", b"bans\n", b"pins\n"]);
 }
 
+/// Guards against messages lost when a read returns part of a line or several lines, and against an unknown message
+/// that stops the decoder.
 #[test]
-fn messages_are_decoded_however_they_are_cut_and_unknown_ones_are_skipped() {
+fn split_messages_are_reassembled_and_unknown_ones_are_reported() {
     let mut decoder = MessageDecoder::default();
     decoder.push(b"rea");
     assert!(decoder.next().is_none(), "half a message");
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,10 +1,11 @@
-//! Upgrades: a new process of this head takes over from the old one while both serve as one.
+//! Zero-downtime upgrades: a newer process of this head takes over the listening sockets of the older one.
 //!
-//! The old process listens on a private socket in the folder that both share. The new one connects to it and
-//! receives the listening sockets: one queue of connections serves both, so no close resets what is queued.
-//! Until the new one says that it is ready, the old one accepts; from then on the new one does, and the old one
-//! ends what it took. While both live, each has half of the head's limits, capacity of nodes in slow start,
-//! descriptors and memory. The connection's end is the other process's end.
+//! The older process listens on a Unix socket in the state folder that both processes share. The newer process connects
+//! to it and receives the listening sockets. Both then share the kernel's accept queues, so closing the sockets in one
+//! process does not reset queued connections. The older process accepts connections until the newer one reports that
+//! it is ready; from then on the newer one accepts them, and the older one completes the requests that it has accepted.
+//! While both run, each uses half of the head's rate limits, slow-start capacity of nodes, file descriptors and memory.
+//! When the Unix connection closes, the other process counts as ended.
 
 mod message;
 mod peer;
@@ -33,30 +34,30 @@
 use tokio::task::spawn_local;
 use tokio::time::{error::Elapsed, sleep, timeout};
 
-/// How long the passing of sockets may take; a peer that needs longer hangs.
+/// Timeout for passing the listening sockets. A peer that takes longer counts as hung.
 const PASSING_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after the system failed to accept a newer process.
+/// Pause after `accept` failed on the Unix socket.
 const ACCEPT_PAUSE: Duration = Duration::from_secs(2);
 
-/// The parts of this process whose state depends on the head's other processes.
+/// Components of this process whose state depends on the other processes of the head.
 pub struct SharedParts {
-    /// The scheduler, for limits and nodes in slow start.
+    /// The scheduler, whose rate limits and slow-start capacity are scaled to this process's share.
     pub dispatcher: Rc<Dispatcher>,
-    /// The budget of descriptors.
+    /// The budget of file descriptors, scaled to this process's share.
     pub descriptors: Rc<DescriptorBudget>,
-    /// The memory for bodies.
+    /// The memory for request and response bodies, scaled to this process's share.
     pub memory: Rc<BodyMemory>,
-    /// Whether this process accepts connections.
+    /// The lifecycle, which controls whether this process accepts client connections.
     pub lifecycle: Rc<Lifecycle>,
-    /// The nodes that operators exclude.
+    /// The nodes excluded by operators, stored in the state folder.
     pub exclusions: Rc<Exclusions>,
-    /// The endpoint list, to which exclusions apply.
+    /// The endpoint directory, which applies the exclusions.
     pub directory: Rc<EndpointDirectory>,
-    /// Load shedding, whose levels operators can override.
+    /// The load-shedding controller, whose overrides are stored in the state folder.
     pub shedding: Rc<SheddingController>,
 }
 
-/// The connections to the other processes of this head, and which of them accepts.
+/// Connections to the other processes of this head, and the state of each of them.
 pub struct Handover {
     socket_path: Option<PathBuf>,
     shared: SharedParts,
@@ -66,7 +67,7 @@
 }
 
 impl Handover {
-    /// A process that knows of no other yet. Without a folder that it shares with others there will be none.
+    /// Creates a handover without other processes. Without a state folder, no handover is possible.
     pub fn new(state_folder: Option<&Path>, name: &str, shared: SharedParts) -> Rc<Handover> {
         Rc::new(Handover {
             socket_path: state_folder.map(|folder| folder.join(format!("flaxgap-{name}.sock"))),
@@ -77,20 +78,22 @@
         })
     }
 
-    /// Whether another process of this head can take over, and may share its addresses.
+    /// Whether a newer process can take over from this one. Its listening addresses must then be shareable.
     pub fn is_possible(&self) -> bool {
         self.socket_path.is_some()
     }
 
-    /// Connects to an older process and receives its listening sockets, in the frontends' order; none where
-    /// there is no such process or it does not respond in time. One that does not respond keeps its share until
-    /// it ends.
+    /// Connects to an older process and receives its listening sockets, in the order of
+    /// [`crate::daemon`]'s listeners: HTTP/1.1, HTTP/2, block.
+    ///
+    /// Returns no sockets if there is no older process or if it does not respond within 2 s. An older process that does
+    /// not respond still counts for this process's share until it ends.
     pub async fn take_over(self: &Rc<Self>) -> Vec<std::net::TcpListener> {
         let Some(path) = &self.socket_path else { return Vec::new() };
         let stream = match socket_path::connect(path).await {
             Ok(stream) => stream,
-            Err(problem) => {
-                log::debug!("handover: no older process: {problem}");
+            Err(error) => {
+                log::debug!("handover: no older process: {error}");
                 return Vec::new();
             }
         };
@@ -98,8 +101,8 @@
         self.update(|others| others.older = true);
         let sockets = match timeout(PASSING_TIMEOUT, receive_sockets(&older.stream)).await {
             Ok(Ok(sockets)) => sockets,
-            Ok(Err(problem)) => {
-                log::warn!("handover: the older process: {problem}");
+            Ok(Err(error)) => {
+                log::warn!("handover: receiving sockets from the older process: {error}");
                 self.update(|others| others.older = false);
                 return Vec::new();
             }
@@ -113,14 +116,15 @@
         sockets
     }
 
+    /// Handles the older process's messages until it ends.
     async fn follow_older_process(self: Rc<Self>, older: Rc<PeerConnection>) {
         self.handle_messages(older).await;
         log::info!("handover: the older process has ended");
         self.update(|others| others.older = false);
     }
 
-    /// Records that this process can serve: it accepts from now on, and listens for a process that will take
-    /// over from it and its `sockets`.
+    /// Puts this process into service: accepts client connections, notifies the other processes, and listens for a newer
+    /// process to pass `sockets` to.
     pub fn serve(self: &Rc<Self>, sockets: Vec<Rc<TcpListener>>) {
         self.sockets.replace(sockets);
         self.shared.lifecycle.set_accepting(true);
@@ -128,37 +132,37 @@
         let Some(path) = &self.socket_path else { return };
         match socket_path::listen(path) {
             Ok(listener) => _ = spawn_local(self.clone().accept_newer_processes(listener)),
-            Err(problem) => log::error!("handover: {}: {problem}; no upgrade can follow", path.display()),
+            Err(error) => log::error!("handover: {}: {error}; no upgrade can follow", path.display()),
         }
     }
 
-    /// Closes the listening sockets: unless a newer process has them, connections are refused from now on.
+    /// Drops this process's listening sockets. Unless a newer process has them open, new connections are then refused.
     pub fn close_sockets(&self) {
         self.sockets.borrow_mut().clear();
     }
 
-    /// Has the other processes read the exclusions again.
+    /// Makes the other processes read the node exclusions again.
     pub fn notify_exclusions_changed(&self) {
         self.send_to_peers(Message::ExclusionsChanged);
     }
 
-    /// Has the other processes read the overrides of shedding levels again.
+    /// Makes the other processes read the overrides of shedding levels again.
     pub fn notify_overrides_changed(&self) {
         self.send_to_peers(Message::OverridesChanged);
     }
 
-    /// Waits until a newer process accepts in place of this one.
+    /// Waits until a newer process accepts connections in place of this one.
     pub async fn wait_for_newer_in_service(&self) {
-        // The sender lives in `self`, so the wait can't fail.
+        // `wait_for` fails only if the sender is dropped, and `self` owns the sender.
         let _ = self.others.subscribe().wait_for(|others| others.newer_in_service()).await;
     }
 
-    /// Whether a newer process accepts in place of this one.
+    /// Whether a newer process accepts connections in place of this one.
     pub fn newer_in_service(&self) -> bool {
         self.others.borrow().newer_in_service()
     }
 
-    /// Changes what is known of the other processes, and applies what follows from it.
+    /// Updates the state of the other processes, and adjusts this process's share and whether it accepts connections.
     fn update(&self, change: impl FnOnce(&mut OtherProcesses)) {
         let before = *self.others.borrow();
         self.others.send_modify(change);
@@ -180,9 +184,9 @@
 
     fn apply_accepting(&self, accepting: bool) {
         if accepting {
-            log::info!("handover: the newer process is gone, this one accepts again");
+            log::info!("handover: accepting connections again, since the newer process ended");
         } else {
-            log::info!("handover: the newer process is in service, this one accepts no more");
+            log::info!("handover: the newer process is in service, no longer accepting connections");
         }
         self.shared.lifecycle.set_accepting(accepting);
     }
@@ -193,41 +197,41 @@
         }
     }
 
-    /// Accepts newer processes, one after the other.
+    /// Accepts newer processes on the Unix socket, one at a time.
     async fn accept_newer_processes(self: Rc<Self>, listener: UnixListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.serve_newer_process(stream).await,
-                Err(problem) => {
-                    log::warn!("handover: accept: {problem}");
+                Err(error) => {
+                    log::warn!("handover: accept: {error}");
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Passes the sockets to a newer process and follows it until it ends.
+    /// Passes the listening sockets to a newer process, then handles its messages until it ends.
     async fn serve_newer_process(&self, stream: UnixStream) {
         let newer = Rc::new(PeerConnection { stream });
         self.update(|others| others.newer = NewerProcess::Starting);
         let sockets = self.sockets.borrow().clone();
         match timeout(PASSING_TIMEOUT, send_sockets(&newer.stream, &sockets)).await {
             Ok(Ok(())) => self.handle_messages(newer).await,
-            Ok(Err(problem)) => log::warn!("handover: the newer process: {problem}"),
+            Ok(Err(error)) => log::warn!("handover: passing sockets to the newer process: {error}"),
             Err(Elapsed { .. }) => log::warn!("handover: the newer process is mute"),
         }
         log::info!("handover: the newer process has ended");
         self.update(|others| others.newer = NewerProcess::Absent);
     }
 
-    /// Handles the peer's messages until it ends.
+    /// Handles the messages of a peer until its connection closes.
     async fn handle_messages(&self, peer: Rc<PeerConnection>) {
         self.peers.borrow_mut().push(peer.clone());
         let mut decoder = MessageDecoder::default();
         while let Some(message) = peer.receive(&mut decoder).await {
             match message {
                 Ok(message) => self.handle_message(message),
-                Err(problem) => log::debug!("handover: {problem}"),
+                Err(error) => log::debug!("handover: {error}"),
             }
         }
         self.peers.borrow_mut().retain(|other| !Rc::ptr_eq(other, &peer));
@@ -235,7 +239,7 @@
 
     fn handle_message(&self, message: Message) {
         match message {
-            Message::Sockets => log::debug!("handover: a second sockets message, ignored"),
+            Message::Sockets => log::debug!("handover: ignoring repeated sockets message"),
             Message::Ready => self.update(OtherProcesses::peer_is_ready),
             Message::ExclusionsChanged => {
                 self.shared.exclusions.reload();
--- a/src/handover/peer.rs
+++ b/src/handover/peer.rs
@@ -4,22 +4,23 @@
 use std::io;
 use tokio::net::UnixStream;
 
-/// The connection; its end is the other process's end.
+/// The connection to one peer process. It closes when the peer ends.
 pub(super) struct PeerConnection {
-    /// The stream, over which sockets are passed too.
+    /// The stream that carries the messages and the passed sockets.
     pub(super) stream: UnixStream,
 }
 
 impl PeerConnection {
-    /// Sends a message without waiting: messages are short and few, and a peer whose buffer they fill does not
-    /// respond.
+    /// Sends a message without waiting for buffer space. Messages are short and rare, so only a peer that has stopped
+    /// reading lets the socket buffer fill up; the message is then dropped with a warning.
     pub(super) fn send(&self, message: Message) {
-        if let Err(problem) = self.stream.try_write(message.encode()) {
-            log::warn!("handover: {problem}");
+        if let Err(error) = self.stream.try_write(message.encode()) {
+            log::warn!("handover: sending a message to another process: {error}");
         }
     }
 
-    /// Receives the next message; `None` when the connection has ended or carries something else.
+    /// Receives the next message; `None` if the connection has closed or failed, or the peer sent a line that is too
+    /// long for a message.
     pub(super) async fn receive(
         &self,
         decoder: &mut MessageDecoder,
@@ -36,7 +37,7 @@
             match self.stream.try_read(&mut bytes) {
                 Ok(0) => return None,
                 Ok(length) => decoder.push(&bytes[..length]),
-                Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return None,
             }
         }
--- a/src/handover/socket_passing.rs
+++ b/src/handover/socket_passing.rs
@@ -1,4 +1,4 @@
-//! Passing of listening sockets from one process to another, as ancillary data of one message (`SCM_RIGHTS`).
+//! Passes listening sockets from one process to another as ancillary data (`SCM_RIGHTS`) of a handover message.
 
 use super::message::Message;
 use rustix::net::{
@@ -12,10 +12,10 @@
 use tokio::io::Interest;
 use tokio::net::{TcpListener, UnixStream};
 
-/// Most sockets that are passed: one for each frontend that clients use.
+/// Maximum number of sockets passed: one for each frontend (HTTP/1.1, HTTP/2, block).
 const MAX_SOCKETS: usize = 3;
 
-/// Sends a sockets message, with the listening sockets as its ancillary data.
+/// Sends [`Message::Sockets`] with the listening sockets as its ancillary data.
 pub(super) async fn send_sockets(stream: &UnixStream, sockets: &[Rc<TcpListener>]) -> io::Result<()> {
     let descriptors: Vec<BorrowedFd> = sockets.iter().map(|socket| socket.as_fd()).collect();
     stream.async_io(Interest::WRITABLE, || send_descriptors(stream, &descriptors)).await
@@ -30,7 +30,11 @@
     Ok(())
 }
 
-/// Receives a sockets message and returns the listening sockets that it carries.
+/// Receives [`Message::Sockets`] and returns the listening sockets passed with it, in non-blocking mode.
+///
+/// # Errors
+///
+/// `UnexpectedEof` if the peer closed the connection before it sent the message.
 pub(super) async fn receive_sockets(stream: &UnixStream) -> io::Result<Vec<std::net::TcpListener>> {
     let descriptors = stream.async_io(Interest::READABLE, || receive_descriptors(stream)).await?;
     let mut sockets = Vec::with_capacity(descriptors.len());
--- a/src/handover/socket_path.rs
+++ b/src/handover/socket_path.rs
@@ -1,4 +1,4 @@
-//! The private socket in the folder that the processes of a head share.
+//! Address of the Unix socket in the state folder that the processes of a head share.
 
 use std::fs::File;
 use std::io;
@@ -6,19 +6,19 @@
 use std::path::{Path, PathBuf};
 use tokio::net::{UnixListener, UnixStream};
 
-/// Longest path that a socket's address is given as it is; the system takes 107 bytes. A longer one goes through
-/// its folder's descriptor.
+/// Longest path that is used as a socket address directly, in bytes. Linux limits `sun_path` to 107 bytes; a longer path
+/// is addressed through the open folder, as `/proc/self/fd/N/name`.
 const MAX_PATH_BYTES: usize = 100;
 
-/// A path that fits a socket's address.
+/// A path that is short enough for a Unix socket address.
 struct SocketAddress {
     path: PathBuf,
-    /// The open folder, through whose descriptor the path leads.
+    /// The open folder whose descriptor `path` refers to; kept open for as long as the path is in use.
     _folder: Option<File>,
 }
 
 impl SocketAddress {
-    fn of(path: &Path) -> io::Result<SocketAddress> {
+    fn new(path: &Path) -> io::Result<SocketAddress> {
         match (path.parent(), path.file_name()) {
             (Some(folder), Some(name)) if path.as_os_str().len() > MAX_PATH_BYTES => {
                 let folder = File::open(folder)?;
@@ -31,20 +31,21 @@
     }
 }
 
-/// Connects to the process that listens at the path.
+/// Connects to the process that listens at `path`.
 pub(super) async fn connect(path: &Path) -> io::Result<UnixStream> {
-    let address = SocketAddress::of(path)?;
+    let address = SocketAddress::new(path)?;
     UnixStream::connect(&address.path).await
 }
 
-/// Listens at the path in place of the process that did before.
+/// Listens at `path`. Replaces the socket of an earlier process by a rename, so that a connecting process finds one of
+/// the two at any time.
 pub(super) fn listen(path: &Path) -> io::Result<UnixListener> {
-    let draft = path.with_extension("new");
-    if let Err(problem) = std::fs::remove_file(&draft) {
-        log::debug!("handover: {problem}");
+    let temporary = path.with_extension("new");
+    if let Err(error) = std::fs::remove_file(&temporary) {
+        log::debug!("handover: {}: {error}", temporary.display());
     }
-    let address = SocketAddress::of(&draft)?;
+    let address = SocketAddress::new(&temporary)?;
     let listener = UnixListener::bind(&address.path)?;
-    std::fs::rename(&draft, path)?;
+    std::fs::rename(&temporary, path)?;
     Ok(listener)
 }
--- a/src/handover/state.rs
+++ b/src/handover/state.rs
@@ -1,28 +1,29 @@
-//! Which other processes of this head live, and what follows from it for this one.
+//! State of the other processes of this head, from which this process derives its share of resources and whether it
+//! accepts connections.
 
-/// A process that was started after this one.
+/// State of the process that was started after this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum NewerProcess {
-    /// There is none.
+    /// No newer process runs.
     #[default]
     Absent,
-    /// It lives, and this process still accepts connections.
+    /// The newer process runs but is not ready; this process still accepts connections.
     Starting,
-    /// It accepts connections in place of this process.
+    /// The newer process accepts connections in place of this one.
     InService,
 }
 
-/// The other processes of this head.
+/// State of the other processes of this head.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct OtherProcesses {
-    /// Whether one that was started before lives.
+    /// Whether a process that was started before this one still runs.
     pub(super) older: bool,
-    /// The one that was started after.
+    /// The process that was started after this one.
     pub(super) newer: NewerProcess,
 }
 
 impl OtherProcesses {
-    /// This process's equal share of what all processes of the head have together, 0 to 1.
+    /// This process's fraction of the head's resources, which all running processes share equally.
     pub(super) fn share(self) -> f64 {
         let others = u8::from(self.older) + u8::from(self.newer != NewerProcess::Absent);
         1.0 / f64::from(1 + others)
@@ -33,7 +34,7 @@
         self.newer == NewerProcess::InService
     }
 
-    /// Records that the peer accepts connections; without a newer process it changes nothing.
+    /// Records that a peer reported itself ready. Only a starting newer process changes state.
     pub(super) fn peer_is_ready(&mut self) {
         if self.newer == NewerProcess::Starting {
             self.newer = NewerProcess::InService;
