--- a/src/config/convert.rs
+++ b/src/config/convert.rs
@@ -1,8 +1,8 @@
-//! Conversion of the settings file into the scheduler's settings and the wires'.
+//! Converts parsed settings into [`SchedulerSettings`] and [`WireSettings`].
 
 use super::WireSettings;
 use super::error::ConfigError;
-use super::field_names::operators_path;
+use super::field_names::file_path;
 use super::file::{
     Bounds, ClassConf as ClassSettings, Conf as SettingsFile, Guarantees, Level as PlanSettings,
     RetryAfterHeader,
@@ -12,20 +12,18 @@
     SchedulerSettings, SlowStartSettings,
 };
 
-/// Upper bound of a time of the wires in seconds, about eleven days: far past any that is meant, and it fits
-/// the clock.
+/// Upper bound of the times in [`WireSettings`], in seconds (about 11 days). It is far above any sensible value, and
+/// [`std::time::Duration`] and the clock can represent it.
 const MAX_SECONDS: f64 = 1e6;
 
-/// Converts settings and checks them.
+/// Checks and converts settings.
 ///
 /// # Errors
 ///
-/// [`ConfigError::Field`] with the path of the first value that can't be served.
+/// [`ConfigError::Field`] with the path of the first invalid field.
 pub(super) fn convert(file: SettingsFile) -> Result<(SchedulerSettings, WireSettings), ConfigError> {
     let scheduler_settings = scheduler_settings(&file)?;
-    scheduler_settings
-        .check()
-        .map_err(|problem| ConfigError::field(operators_path(&problem.field), problem.problem))?;
+    scheduler_settings.check().map_err(|error| ConfigError::field(file_path(&error.field), error.problem))?;
     check_wire_times(&file)?;
     Ok((scheduler_settings, wire_settings(file)))
 }
@@ -72,7 +70,7 @@
     }
 }
 
-/// The retry budget; none where the file has no field of it.
+/// The retry budget; `None` if the file has none of its fields.
 fn retry_budget(guarantees: &Guarantees) -> Result<Option<RetryBudget>, ConfigError> {
     let min_retries = guarantees.retry_budget_min_retries;
     let ratio = guarantees.retry_budget_ratio;
@@ -80,21 +78,27 @@
         if min_retries.is_none() && ratio.is_none() {
             return Ok(None);
         }
-        return Err(ConfigError::field("settings.guarantees.budget_window", "is missing"));
+        return Err(ConfigError::field(
+            "settings.guarantees.budget_window",
+            "is required with budget_free or budget_share",
+        ));
     };
     Ok(Some(RetryBudget { min_retries: min_retries.unwrap_or(0.0), ratio: ratio.unwrap_or(0.0), window_s }))
 }
 
-/// How often the endpoint list is polled; none where changes are pushed.
+/// The interval between polls of the endpoint list, in seconds; `None` if the source pushes changes.
 fn poll_interval_s(file: &SettingsFile) -> Result<Option<f64>, ConfigError> {
     match file.membership_mode.as_str() {
         "ask" => Ok(Some(file.guarantees.poll_interval_s)),
         "push" => Ok(None),
-        other => Err(ConfigError::field("settings.membership_mode", format!("unknown mode {other:?}"))),
+        other => Err(ConfigError::field(
+            "settings.membership_mode",
+            format!("unknown mode {other:?}, expected \"ask\" or \"push\""),
+        )),
     }
 }
 
-/// The longest `Retry-After`; zero where rejected requests carry none.
+/// The longest `Retry-After` of rejected requests, in seconds; 0 if they carry none.
 fn max_retry_after_s(bounds: &Bounds) -> f64 {
     match bounds.retry_after {
         RetryAfterHeader::Sent => bounds.max_retry_after_s,
@@ -118,11 +122,14 @@
     match class.deduplication_scope.as_str() {
         "all" => Ok(DeduplicationScope::AllNodes),
         "zone" => Ok(DeduplicationScope::Zone),
-        // Where the file has none, the strictest.
+        // The strictest scope is the default.
         "cell" | "" => Ok(DeduplicationScope::Shard),
         other => {
             let field = format!("settings.classes[{index}].group");
-            Err(ConfigError::field(field, format!("unknown group {other:?}")))
+            Err(ConfigError::field(
+                field,
+                format!("unknown group {other:?}, expected \"all\", \"zone\" or \"cell\""),
+            ))
         }
     }
 }
@@ -138,7 +145,10 @@
         "unsafe" => Ok(Idempotency::NotIdempotent),
         other => {
             let field = format!("settings.classes[{index}].idempotency");
-            Err(ConfigError::field(field, format!("unknown kind {other:?}")))
+            Err(ConfigError::field(
+                field,
+                format!("unknown kind {other:?}, expected \"safe\", \"keyed\" or \"unsafe\""),
+            ))
         }
     }
 }
@@ -156,13 +166,19 @@
 
 fn check_wire_times(file: &SettingsFile) -> Result<(), ConfigError> {
     if !(0.0..MAX_SECONDS).contains(&file.guarantees.drain_grace_s) {
-        return Err(ConfigError::field("settings.guarantees.drain_grace", "must not be below zero"));
+        return Err(ConfigError::field(
+            "settings.guarantees.drain_grace",
+            format!("must be at least 0 and below {MAX_SECONDS} s"),
+        ));
     }
     let timeouts =
         [("connect_timeout", file.bounds.connect_timeout_s), ("conn_idle", file.bounds.connection_idle_s)];
     for (name, seconds) in timeouts {
         if !(seconds > 0.0 && seconds < MAX_SECONDS) {
-            return Err(ConfigError::field(format!("settings.bounds.{name}"), "must be above zero"));
+            return Err(ConfigError::field(
+                format!("settings.bounds.{name}"),
+                format!("must be above 0 and below {MAX_SECONDS} s"),
+            ));
         }
     }
     Ok(())
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,51 +1,51 @@
-//! Errors of the configuration file and of the settings in it.
+//! Errors in the configuration file.
 
 use thiserror::Error;
 
-/// A configuration that no head can start with; says which part is wrong.
+/// A configuration that can't be read or holds an invalid value. The message names the field.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file can't be read.
     #[error("configuration {path}: {source}")]
     Unreadable {
-        /// Where it was looked for.
+        /// Path of the file.
         path: String,
-        /// The system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The text is not of the form expected.
+    /// The text is not valid JSON, or a field is missing or has the wrong type.
     #[error("{part}{}{path}: {source}", if path.is_empty() { "" } else { "." })]
     Malformed {
-        /// Which text it is.
+        /// The text that was parsed.
         part: ConfigPart,
-        /// The path of what can't be read, as far as the parser came; empty where it is no JSON.
+        /// Path of the field at which parsing failed; empty if the error is not in a field.
         path: String,
         /// The parser's error.
         source: serde_json::Error,
     },
-    /// A field holds a value that can't be served.
+    /// A field has an invalid value.
     #[error("{field}: {problem}")]
     Field {
-        /// The field's path, in the operators' words.
+        /// Path of the field, with the names used in the file.
         field: String,
-        /// What is wrong with it.
+        /// Description of the error.
         problem: String,
     },
 }
 
 impl ConfigError {
-    /// An error of the field at a path.
+    /// Creates a [`ConfigError::Field`].
     pub(super) fn field(field: impl Into<String>, problem: impl Into<String>) -> ConfigError {
         ConfigError::Field { field: field.into(), problem: problem.into() }
     }
 }
 
-/// A text that is read.
+/// The text in which an error was found; it starts the error message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigPart {
     /// A head's configuration file.
     Configuration,
-    /// Settings by themselves, as the simulator's adapter receives them.
+    /// Settings without a configuration file, as the simulator's adapter receives them.
     Settings,
 }
 
--- a/src/config/field_names.rs
+++ b/src/config/field_names.rs
@@ -1,18 +1,18 @@
-//! How operators call the scheduler's settings: the paths that errors name.
+//! Maps the scheduler's field names to those of the settings file, for the paths in error messages.
 
-/// The path, in the settings file, of a field that the scheduler's check names.
-pub(super) fn operators_path(field: &str) -> String {
+/// Returns the settings-file path of a field that [`crate::scheduler::SchedulerSettings::check`] rejected.
+pub(super) fn file_path(field: &str) -> String {
     match field.split_once('.') {
         Some((list, rest)) if list.ends_with(']') => {
             let list = list.replace("plans[", "service_levels[");
-            format!("settings.{list}.{}", operators_name(rest))
+            format!("settings.{list}.{}", file_name(rest))
         }
-        _ => format!("settings.{}", operators_name(field)),
+        _ => format!("settings.{}", file_name(field)),
     }
 }
 
-/// The operators' name of a field; one that the file calls the same has no entry.
-fn operators_name(field: &str) -> &str {
+/// Returns the settings-file name of a field. Fields with the same name in the file have no entry.
+fn file_name(field: &str) -> &str {
     match field {
         "heads" => "n_instances",
         "tick" => "period",
@@ -40,6 +40,6 @@
         "priority_weight" => "worth",
         "late_fraction" => "late_worth",
         "idempotency.window" => "repeat_window",
-        same => same,
+        unchanged => unchanged,
     }
 }
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,28 +1,34 @@
-//! The form of the configuration file. The operators' words stand only here and in the paths of errors: each
-//! field carries the code's name, and its `rename` the file's. The structs' names are part of the parser's error
-//! texts, so they stay; the conversion imports them by names of its own. Times are in seconds.
+//! Schema of the configuration file.
+//!
+//! Names that differ between the file and the code are mapped by `#[serde(rename)]` here, and by `field_names` for error
+//! messages. The parser's error messages contain the struct names, so structs keep their names, and `convert` imports
+//! some of them under other names. Times are in seconds.
 
 use super::Limits;
 use super::error::{ConfigError, ConfigPart};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Parses a text; the error names the path of what can't be read.
+/// Parses JSON.
+///
+/// # Errors
+///
+/// [`ConfigError::Malformed`] with the path of the field at which parsing failed.
 pub(super) fn parse<'a, T: Deserialize<'a>>(part: ConfigPart, text: &'a [u8]) -> Result<T, ConfigError> {
     let malformed = |path, source| ConfigError::Malformed { part, path, source };
     let mut deserializer = serde_json::Deserializer::from_slice(text);
-    let value = serde_path_to_error::deserialize(&mut deserializer).map_err(|problem| {
-        let path = match problem.path().to_string() {
+    let value = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
+        let path = match error.path().to_string() {
             root if root == "." => String::new(),
             path => path,
         };
-        malformed(path, problem.into_inner())
+        malformed(path, error.into_inner())
     })?;
     deserializer.end().map_err(|source| malformed(String::new(), source))?;
     Ok(value)
 }
 
-/// The configuration file.
+/// The configuration file of one head.
 #[derive(Deserialize)]
 pub(super) struct ConfigFile {
     pub(super) name: String,
@@ -37,7 +43,7 @@
     pub(super) settings: Conf,
 }
 
-/// The settings, which all heads of an installation share.
+/// The settings shared by all heads of an installation.
 #[derive(Deserialize)]
 pub(super) struct Conf {
     #[serde(default)]
@@ -56,14 +62,14 @@
     pub(super) plans: Vec<Level>,
 }
 
-/// Whether rejected requests carry a `Retry-After`; a boolean in the file.
+/// Whether responses to rejected requests carry a `Retry-After` header; a boolean in the file.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(from = "bool")]
 pub(super) enum RetryAfterHeader {
-    /// They carry none.
+    /// The header is omitted.
     #[default]
     Absent,
-    /// They carry one, up to the longest time configured.
+    /// The header is sent, with at most [`Bounds::max_retry_after_s`].
     Sent,
 }
 
@@ -73,7 +79,7 @@
     }
 }
 
-/// Bounds of what a head does for a request, and which optional mechanisms are on.
+/// Limits on the work that a head does for a request, and switches of the optional mechanisms.
 #[derive(Deserialize)]
 pub(super) struct Bounds {
     #[serde(default, rename = "cancel")]
@@ -129,10 +135,10 @@
     pub(super) priority_weight: f64,
 }
 
-/// What requests are like, and how capacity is shared.
+/// Properties of the workload, and how capacity is shared.
 #[derive(Deserialize)]
 pub(super) struct Domain {
-    /// Whether each class writes, by index.
+    /// Whether requests of each class write, by class index.
     #[serde(default, rename = "changes_data")]
     pub(super) class_writes: Vec<bool>,
     #[serde(rename = "cold_units")]
@@ -151,7 +157,7 @@
     pub(super) within_quota_fraction: f64,
 }
 
-/// What heads guarantee to nodes and clients.
+/// Guarantees of the heads to nodes and clients: polling, retries, draining, slow start and ordering.
 #[derive(Deserialize)]
 pub(super) struct Guarantees {
     #[serde(default, rename = "ask_every")]
@@ -164,7 +170,7 @@
     pub(super) retry_budget_window_s: Option<f64>,
     #[serde(rename = "cold_from")]
     pub(super) slow_start_initial_capacity: f64,
-    /// Zero, the strictest, where the file has none.
+    /// Defaults to 0, the strictest value.
     #[serde(default, rename = "drain_grace")]
     pub(super) drain_grace_s: f64,
     #[serde(rename = "fall")]
@@ -177,7 +183,7 @@
     pub(super) slow_start_overload_factor: f64,
 }
 
-/// Which load figures nodes report, and where.
+/// Which load values nodes report, and by which means.
 #[derive(Deserialize)]
 pub(super) struct ReportConf {
     #[serde(default)]
@@ -185,7 +191,7 @@
     pub(super) source: String,
 }
 
-/// A plan that volumes are sold under.
+/// A plan, which sets the reserve, weight and limit of its volumes.
 #[derive(Deserialize)]
 pub(super) struct Level {
     #[serde(default)]
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -1,32 +1,34 @@
-//! Limits of the machine that a head runs on.
+//! Resource limits of a head's process.
 
 use serde::Deserialize;
 
-/// Clients hold one in so many of the descriptors with requests; the others serve attempts at nodes and
-/// connections between two requests.
+/// Descriptors set aside for each pending request: one for its client connection, the others for its attempts at nodes
+/// and for idle connections.
 const DESCRIPTORS_PER_PENDING_REQUEST: usize = 3;
-/// KB of each MB of the memory that the buffers of connections may take: a quarter.
+/// Memory for connection buffers, in KB for each MB of the memory limit: a quarter of it.
 const CONNECTION_BUFFERS_KB_PER_MB: usize = 256;
-/// Memory that the buffers of one connection take, in KB.
+/// Memory used by the buffers of one connection, in KB.
 const CONNECTION_BUFFERS_KB: usize = 24;
 
-/// The limits.
+/// Resource limits of a head's process, as configured.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// File descriptors that the process may hold.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
-    /// Memory that the process may hold, in MB.
+    /// Maximum memory use, in MB.
     pub memory_mb: usize,
 }
 
 impl Limits {
-    /// Descriptors that may be held: no more than there is memory for.
+    /// Maximum number of open file descriptors, reduced if the memory limit has no room for the buffers of as many
+    /// connections.
     pub fn descriptors(&self) -> usize {
-        let with_memory = self.memory_mb.saturating_mul(CONNECTION_BUFFERS_KB_PER_MB) / CONNECTION_BUFFERS_KB;
-        self.sockets.min(with_memory)
+        let within_memory =
+            self.memory_mb.saturating_mul(CONNECTION_BUFFERS_KB_PER_MB) / CONNECTION_BUFFERS_KB;
+        self.sockets.min(within_memory)
     }
 
-    /// Requests of clients that may be pending at a time.
+    /// Maximum number of client requests pending at the same time.
     pub(super) fn pending_requests(&self) -> usize {
         self.sockets / DESCRIPTORS_PER_PENDING_REQUEST
     }
--- a/src/config/load_report.rs
+++ b/src/config/load_report.rs
@@ -1,8 +1,8 @@
-//! The load report of a node, as the wires name its values.
+//! Conversion of a node's load report from named values.
 
 use crate::scheduler::LoadReport;
 
-/// A load report out of names and values; names that the scheduler has no use for are skipped.
+/// Builds a load report from the names and values that a node sent. Ignores names that the scheduler does not use.
 pub fn report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in values {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,7 @@
-//! The configuration file of a head, and the settings in it that it shares with the simulator's adapter. One
-//! reader serves both.
+//! Configuration of a head: the configuration file, and the operators' file.
+//!
+//! The configuration file contains the settings that all heads share. The simulator's adapter receives the same settings
+//! without the file; both use the parser in this module.
 
 mod convert;
 mod error;
@@ -23,47 +25,47 @@
 /// The configuration of one head.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the head.
     pub name: String,
-    /// Where clients connect.
+    /// Listening address of the HTTP/1.1 frontend.
     pub listen: SocketAddr,
-    /// Where the admin server listens, if anywhere.
+    /// Listening address of the admin server; `None` if the file has none.
     pub admin_address: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed for random numbers.
+    /// Seed of the pseudo-random number generators.
     pub seed: u64,
-    /// Limits of the machine.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The endpoint list as this head had it last, in discovery's form.
+    /// The last endpoint list known to an earlier process of this head, in discovery's JSON format.
     pub cached_list: Option<serde_json::Value>,
-    /// The scheduler's settings.
+    /// Settings of the scheduler.
     pub settings: SchedulerSettings,
-    /// What the wires need of the settings.
+    /// Settings of the frontends, the node transport and discovery.
     pub wire_settings: WireSettings,
 }
 
 impl Config {
-    /// Reads the file at a path.
+    /// Reads and checks the configuration file at `path`.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] if the file can't be read, or names the field that can't be served.
+    /// [`ConfigError`] if the file can't be read or a field is invalid.
     pub fn load(path: &str) -> Result<Config, ConfigError> {
         let text =
             std::fs::read(path).map_err(|source| ConfigError::Unreadable { path: path.into(), source })?;
         Config::parse(&text)
     }
 
-    /// Reads a configuration's text.
+    /// Parses and checks the text of a configuration file.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`], which names the field that can't be served.
+    /// [`ConfigError`] with the path of the first invalid field.
     pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         let file: ConfigFile = parse(ConfigPart::Configuration, text)?;
         let seed = u64::from_str_radix(&file.seed, 16)
-            .map_err(|problem| ConfigError::field("seed", problem.to_string()))?;
+            .map_err(|error| ConfigError::field("seed", error.to_string()))?;
         let (mut settings, wire_settings) = convert(file.settings)?;
         settings.max_pending = settings.max_pending.min(file.limits.pending_requests());
         Ok(Config {
@@ -80,11 +82,11 @@
     }
 }
 
-/// Reads settings by themselves.
+/// Parses and checks settings without a configuration file, as the simulator's adapter receives them.
 ///
 /// # Errors
 ///
-/// [`ConfigError`], which names the field that can't be served.
+/// [`ConfigError`] with the path of the first invalid field.
 pub fn read(text: &[u8]) -> Result<(SchedulerSettings, WireSettings), ConfigError> {
     convert(parse(ConfigPart::Settings, text)?)
 }
--- a/src/config/operators_file.rs
+++ b/src/config/operators_file.rs
@@ -1,5 +1,5 @@
-//! The operators' file: where counters are exported, which plug-in observes, load shedding, the frontend for
-//! HTTP/2, and the relays that the head follows. Everything in it is off by default.
+//! The operators' file (TOML): exporters, the plug-in, load shedding, the HTTP/2 frontend and the relays that the head
+//! follows. Every component in it is off by default.
 
 use crate::config::WireSettings;
 use crate::discovery::relays::settings::{DistributionError, DistributionFile, DistributionSettings};
@@ -12,81 +12,82 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// An operators' file that can't be used.
+/// An operators' file that can't be read or is invalid.
 #[derive(Debug, Error)]
 pub enum OperatorsFileError {
     /// The file can't be read.
-    #[error("{0}: {1}")]
+    #[error("operators' file {0}: {1}")]
     Unreadable(String, #[source] std::io::Error),
-    /// It is no TOML of the form expected.
-    #[error("operations file {0}: {1}")]
+    /// The text is not valid TOML, or a key is missing, unknown or of the wrong type.
+    #[error("operators' file {0}: {1}")]
     Malformed(String, #[source] toml::de::Error),
-    /// Its settings of load shedding contradict themselves.
-    #[error("operations file {0}: {1}")]
+    /// The settings of load shedding are invalid or contradict each other.
+    #[error("operators' file {0}: {1}")]
     Levels(String, #[source] SheddingSettingsError),
-    /// Its frontend for HTTP/2 can't be served.
-    #[error("operations file {0}: {1}")]
+    /// The settings of the HTTP/2 frontend are invalid.
+    #[error("operators' file {0}: {1}")]
     Http2(String, #[source] Http2Error),
-    /// The relays that it names can't be followed.
-    #[error("operations file {0}: {1}")]
+    /// The settings of the relays are invalid.
+    #[error("operators' file {0}: {1}")]
     Distribution(String, #[source] DistributionError),
 }
 
-/// The file that a value was read from.
+/// Path and text of the file from which an [`OperatorsFile`] was read.
 #[derive(Clone, Debug)]
 struct SourceFile {
     path: String,
-    /// The whole text, in which errors show the line.
+    /// The text of the file, from which errors derive line numbers.
     text: String,
 }
 
-/// What the file may hold.
+/// The parsed operators' file. The default has every component off.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorsFile {
-    /// Counters to Graphite.
+    /// Export of counters to Graphite.
     pub graphite: Option<Graphite>,
-    /// Counters to collectd.
+    /// Export of counters to collectd.
     pub collectd: Option<Collectd>,
-    /// A plug-in that observes requests.
+    /// The plug-in that observes requests and responses.
     pub plugin: Option<PluginConfig>,
-    /// Load shedding.
+    /// Settings of load shedding.
     levels: Option<LevelsFile>,
-    /// The frontend for HTTP/2.
+    /// Settings of the HTTP/2 frontend.
     http2: Option<Http2File>,
-    /// The relays to follow in place of discovery.
+    /// Settings of the relays that the head follows instead of discovery.
     distribution: Option<DistributionFile>,
-    /// The file; none where there is none, and then nothing is on.
+    /// The file that was read; `None` for the default, which has every component off.
     #[serde(skip)]
     source: Option<SourceFile>,
 }
 
 impl OperatorsFile {
-    /// Reads the file at a path.
+    /// Reads and parses the file at `path`. The settings of load shedding, HTTP/2 and relays are checked only by the
+    /// methods that return them.
     ///
     /// # Errors
     ///
-    /// [`OperatorsFileError`] if the file can't be read or is not of the form expected.
+    /// [`OperatorsFileError`] if the file can't be read or parsed.
     pub fn load(path: &str) -> Result<OperatorsFile, OperatorsFileError> {
         let text = std::fs::read_to_string(path)
-            .map_err(|problem| OperatorsFileError::Unreadable(path.into(), problem))?;
+            .map_err(|error| OperatorsFileError::Unreadable(path.into(), error))?;
         let file: OperatorsFile =
-            toml::from_str(&text).map_err(|problem| OperatorsFileError::Malformed(path.into(), problem))?;
+            toml::from_str(&text).map_err(|error| OperatorsFileError::Malformed(path.into(), error))?;
         let source = SourceFile { path: path.into(), text };
         Ok(OperatorsFile { source: Some(source), ..file })
     }
 
-    /// Where the file is; none where there is no file.
+    /// Path of the file; `None` if no file was read.
     pub fn path(&self) -> Option<&str> {
         self.source.as_ref().map(|source| source.path.as_str())
     }
 
-    /// The settings of load shedding, checked against the classes, plans and zones of the installation; none
-    /// where it is off.
+    /// Checks the settings of load shedding against the classes, plans and zones of the installation. Returns `None` if
+    /// load shedding is off.
     ///
     /// # Errors
     ///
-    /// [`OperatorsFileError::Levels`] with the line that can't be served.
+    /// [`OperatorsFileError::Levels`] with the line of the invalid setting.
     pub fn shedding(
         &self,
         wire_settings: &WireSettings,
@@ -98,35 +99,36 @@
             zones: wire_settings.zone_names.clone(),
         };
         let settings = SheddingSettings::check(file, &source.text, &names, &wire_settings.class_writes)
-            .map_err(|problem| OperatorsFileError::Levels(source.path.clone(), problem))?;
+            .map_err(|error| OperatorsFileError::Levels(source.path.clone(), error))?;
         Ok(Some(settings))
     }
 
-    /// The settings of the frontend for HTTP/2; none where it is off.
+    /// Checks the settings of the HTTP/2 frontend. Returns `None` if the frontend is off.
     ///
     /// # Errors
     ///
-    /// [`OperatorsFileError::Http2`] with the line that can't be served.
+    /// [`OperatorsFileError::Http2`] with the line of the invalid setting.
     pub fn http2(&self) -> Result<Option<Http2>, OperatorsFileError> {
         let (Some(source), Some(file)) = (&self.source, &self.http2) else { return Ok(None) };
         let settings = Http2::check(file, &source.text)
-            .map_err(|problem| OperatorsFileError::Http2(source.path.clone(), problem))?;
+            .map_err(|error| OperatorsFileError::Http2(source.path.clone(), error))?;
         Ok(Some(settings))
     }
 
-    /// The relays to follow; none where the head follows discovery itself.
+    /// Checks the settings of the relays. Returns `None` if the head follows discovery.
     ///
     /// # Errors
     ///
-    /// [`OperatorsFileError::Distribution`] with the line that can't be served.
+    /// [`OperatorsFileError::Distribution`] with the line of the invalid setting.
     pub fn distribution(&self) -> Result<Option<DistributionSettings>, OperatorsFileError> {
         let (Some(source), Some(file)) = (&self.source, &self.distribution) else { return Ok(None) };
         let settings = DistributionSettings::check(file, &source.text)
-            .map_err(|problem| OperatorsFileError::Distribution(source.path.clone(), problem))?;
+            .map_err(|error| OperatorsFileError::Distribution(source.path.clone(), error))?;
         Ok(Some(settings))
     }
 
-    /// Whether the change from `running` to this file takes a restart: anything but load shedding differs.
+    /// Whether a change from `running` to this file needs a restart, which is so if any setting other than load shedding
+    /// differs.
     pub fn takes_restart(&self, running: &OperatorsFile) -> bool {
         self.graphite != running.graphite
             || self.collectd != running.collectd
--- a/src/config/wire_settings.rs
+++ b/src/config/wire_settings.rs
@@ -1,24 +1,25 @@
-//! Settings that concern the wires only: names, deadlines of clients, and times of connections.
+//! Settings of network I/O, which the scheduler does not need: names on the wire, client deadlines and connection timeouts.
 
-/// What the frontends, the connections to nodes and discovery need of the settings.
+/// The settings used by the frontends, the node transport and discovery.
 #[derive(Clone, Debug, Default)]
 pub struct WireSettings {
-    /// Names of the load report's values, in their order.
+    /// Names of the values in a load report, in their order on the wire.
     pub report_names: Vec<String>,
-    /// Names of the classes, by index.
+    /// Name of each class, by class index.
     pub class_names: Vec<String>,
-    /// Whether each class writes.
+    /// Whether requests of each class write, by class index.
     pub class_writes: Vec<bool>,
-    /// How long each class's clients wait for an answer, in seconds.
+    /// Request deadline of each class, in seconds, by class index.
     pub class_deadlines: Vec<f64>,
-    /// Names of the plans, by index.
+    /// Name of each plan, by plan index.
     pub plan_names: Vec<String>,
-    /// Names of the zones, by index.
+    /// Name of each zone, by zone index.
     pub zone_names: Vec<String>,
-    /// Seconds after which an attempt to connect has failed.
+    /// Timeout for connecting to a node, in seconds.
     pub connect_timeout: f64,
-    /// Seconds after which a node closes an idle connection at the latest.
+    /// Idle timeout of nodes, in seconds: a node closes an idle connection after this time at the latest.
     pub conn_idle: f64,
-    /// Seconds in which sends to a draining node must end, once the list says that it drains.
+    /// Time, in seconds, within which the head must stop sending requests to a node after the endpoint list marks the node
+    /// as draining.
     pub drain_grace: f64,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of a storage gateway that keeps volumes to their reservations, shares and limits.
+//! A storage gateway ("head") that enforces the reservations, shares and limits of volumes.
 //!
-//! A [`Scheduler`] is the I/O scheduler of one head. It receives events ([`scheduler::Event`]) and
-//! answers with actions ([`scheduler::Action`]); it reads no clock, opens no connection and shares nothing with
-//! other heads. The same events give the same actions.
+//! The [`Scheduler`] is the I/O scheduler of one head. It receives events ([`scheduler::Event`]) and returns actions
+//! ([`scheduler::Action`]). It reads no clock, does no I/O and shares no state with other heads, so the same seed and the
+//! same events always produce the same actions. The other modules are the daemon around it: frontends, the transport of
+//! requests to nodes, discovery, configuration, metrics and handover.
 //!
 //! ```
 //! use flaxgap::scheduler::{
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The storage head as a program: reads the environment and the files that it names, and runs the daemon.
+//! The storage head's executable: reads the environment variables and the files that they name, and runs the daemon.
 
 use flaxgap::config::Config;
 use flaxgap::config::operators_file::OperatorsFile;
@@ -7,15 +7,15 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Names the configuration file; required.
+/// Environment variable with the path of the configuration file; required.
 const CONFIG_FILE: &str = "LB_CONFIG";
-/// The admin server's address, where the configuration names none.
+/// Environment variable with the listening address of the admin server, used if the configuration has none.
 const ADMIN_ADDRESS: &str = "LB_OPS";
-/// Names the operators' file.
+/// Environment variable with the path of the operators' file.
 const OPERATORS_FILE: &str = "FLAXGAP_OPS";
-/// Names the block frontend's file.
+/// Environment variable with the path of the block frontend's file.
 const BLOCK_FILE: &str = "FLAXGAP_BLOCK";
-/// The folder that the processes of one head share.
+/// Environment variable with the folder in which the processes of one head share state.
 const STATE_FOLDER: &str = "TMPDIR";
 
 fn main() -> ExitCode {
@@ -23,8 +23,8 @@
     env_logger::Builder::from_env(filter).format_timestamp_micros().init();
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            log::error!("flaxgap: {problem}");
+        Err(error) => {
+            log::error!("flaxgap: {error}");
             ExitCode::FAILURE
         }
     }
@@ -40,25 +40,25 @@
     Ok(())
 }
 
-/// The daemon with the configuration that the environment names.
+/// Creates the daemon from the files named in the environment.
 fn configure() -> Result<Daemon, Box<dyn std::error::Error>> {
-    let config_path =
-        std::env::var(CONFIG_FILE).map_err(|_| format!("{CONFIG_FILE} names no configuration"))?;
+    let config_path = std::env::var(CONFIG_FILE)
+        .map_err(|_| format!("environment variable {CONFIG_FILE} must name the configuration file"))?;
     let mut config = Config::load(&config_path)?;
-    if let (None, Some(address)) = (config.admin_address, variable(ADMIN_ADDRESS)) {
-        let parsed = address.parse().map_err(|problem| format!("{ADMIN_ADDRESS}: {address}: {problem}"))?;
+    if let (None, Some(address)) = (config.admin_address, environment_variable(ADMIN_ADDRESS)) {
+        let parsed = address.parse().map_err(|error| format!("{ADMIN_ADDRESS}: {address}: {error}"))?;
         config.admin_address = Some(parsed);
     }
     log::info!("daemon: {} starts, discovery at {}", config.name, config.discovery);
-    let operators_file = match variable(OPERATORS_FILE) {
+    let operators_file = match environment_variable(OPERATORS_FILE) {
         Some(path) => OperatorsFile::load(&path)?,
         None => OperatorsFile::default(),
     };
-    let state_folder = variable(STATE_FOLDER).map(PathBuf::from);
-    Ok(Daemon::new(config_path, config, variable(BLOCK_FILE), operators_file, state_folder))
+    let state_folder = environment_variable(STATE_FOLDER).map(PathBuf::from);
+    Ok(Daemon::new(config_path, config, environment_variable(BLOCK_FILE), operators_file, state_folder))
 }
 
-/// An environment variable's value; one that is not set, or empty, leaves its part off.
-fn variable(name: &str) -> Option<String> {
+/// Returns the value of an environment variable; `None` if it is unset or empty.
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
--- a/src/metrics/counters.rs
+++ b/src/metrics/counters.rs
@@ -1,7 +1,7 @@
-//! Counters of the requests, attempts, answers and connections of one head.
+//! Counters and gauges of one head: requests, attempts, responses and connections.
 //!
-//! They are the one source for the admin server, the exporters, the log and the exit. The fields of [`Counters`] have
-//! the names under which operators see the counters, which stay the same for as long as there are dashboards of them.
+//! The admin server, the exporters and the log all read the same [`Counters`]. Its fields are named like the exported
+//! metrics, and must not be renamed, because dashboards refer to them.
 
 use crate::metrics::event_loop::LongestTurn;
 use crate::scheduler::{AttemptOutcome, ClassId};
@@ -11,47 +11,47 @@
 
 /// Exported names of the gauges; all others are counters.
 const GAUGES: [&str; 5] = ["in_flight", "level", "halls_reduced", "levels_pinned", "longest_turn_us"];
-/// Counters that the exposition shows by class, and not in all.
+/// Counters that the Prometheus exposition reports for each class instead of in total.
 const OUTCOME_COUNTERS: [&str; 3] = ["served", "refused", "failed"];
 
-/// A counter.
+/// A monotonically increasing count.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Adds one.
+    /// Increments the counter by one.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// Adds a number.
+    /// Increments the counter by `count`.
     pub fn add_many(&self, count: u64) {
         self.0.set(self.0.get() + count);
     }
 
-    /// Raises the counter to one that is counted elsewhere; it never falls.
+    /// Raises the counter to a total that is counted elsewhere. A lower total has no effect.
     pub fn raise_to(&self, count: u64) {
         self.0.set(self.0.get().max(count));
     }
 
-    /// The present count.
+    /// Returns the current count.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// The outcome of a request, as its client sees it.
+/// Outcome of a request as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// Answered with a node's body, to its end.
+    /// Answered with the complete response of a node.
     Served,
-    /// Rejected without effect; the client may safely send it again.
+    /// Rejected before it had any effect; the client can safely retry it.
     Rejected,
-    /// Answered in any other way.
+    /// Answered in any other way, such as with an error.
     Failed,
 }
 
-/// The outcomes of the requests of one class.
+/// Numbers of requests of one class by outcome.
 #[derive(Debug, Default)]
 struct ClassCounters {
     name: String,
@@ -73,8 +73,8 @@
         }
     }
 
-    /// The outcomes' exported names and counts.
-    fn figures(&self) -> [(&'static str, u64); 3] {
+    /// Exported name and count of each outcome.
+    fn values(&self) -> [(&'static str, u64); 3] {
         [("served", self.served.get()), ("refused", self.refused.get()), ("failed", self.failed.get())]
     }
 }
@@ -87,13 +87,13 @@
             $($(#[$doc])* pub $name: Counter,)*
             in_flight: Cell<u64>,
             shedding: Cell<SheddingGauges>,
-            /// The longest turn of the event loop of late.
+            /// The longest recent turn of the event loop.
             pub longest_turn: LongestTurn,
             classes: Vec<ClassCounters>,
         }
 
         impl Counters {
-            /// The exported names and values, in a fixed order.
+            /// Exported name and value of each counter and gauge, in a fixed order.
             pub fn figures(&self) -> Vec<(&'static str, u64)> {
                 let shedding = self.shedding.get();
                 vec![
@@ -109,14 +109,14 @@
     };
 }
 
-/// The load-shedding levels in force.
+/// Gauges of the load-shedding levels in effect.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SheddingGauges {
-    /// The head's level in its escalation policy, 0 for `normal`.
+    /// Position of the head's level in its escalation policy; 0 is `normal`.
     pub head_level: u64,
-    /// Zones at a level of their own.
+    /// Number of zones whose level is not `normal`.
     pub reduced_zones: u64,
-    /// Levels that operators override.
+    /// Number of levels that operators override.
     pub overrides: u64,
 }
 
@@ -131,7 +131,7 @@
     failed,
     /// Requests whose client disconnected before the answer.
     gone,
-    /// Requests that the scheduler owed a decision past their deadline.
+    /// Requests that the scheduler had not decided on by their deadline.
     overdue,
     /// Requests that could not be parsed.
     bad_input,
@@ -145,7 +145,7 @@
     spoilt,
     /// Attempts that a node rejected before it processed them.
     full,
-    /// Attempts without a response in time.
+    /// Attempts that timed out.
     timeout,
     /// Attempts whose last byte never reached a node.
     connect_failed,
@@ -173,9 +173,9 @@
     node_connections,
     /// Connections accepted from clients.
     client_connections,
-    /// Client connections on which more data came after their end than was read; the rest was dropped.
+    /// Client connections whose client still sent bytes after the last response; the bytes were discarded.
     lingered,
-    /// Client connections closed because more was pipelined than is buffered.
+    /// Client connections closed because they pipelined more bytes than are buffered.
     floods,
     /// Client connections reset because a response ended before its body was complete.
     broken_off,
@@ -183,11 +183,11 @@
     http2_connections,
     /// HTTP/2 streams accepted.
     http2_streams,
-    /// HTTP/2 streams refused before anything of them was processed.
+    /// HTTP/2 streams refused before any processing.
     http2_refused,
     /// HTTP/2 streams that clients reset before their response was complete.
     http2_resets,
-    /// HTTP/2 streams whose client read nothing of the response.
+    /// HTTP/2 streams whose client stopped reading the response.
     http2_stalled,
     /// HTTP/2 connections closed because of flooding.
     http2_turned_out,
@@ -209,11 +209,11 @@
     plugin_failures,
     /// Idle connections closed to free descriptors.
     reclaimed,
-    /// Lists that changed the endpoints.
+    /// Endpoint lists and updates that changed the endpoints.
     list_changes,
     /// Watches on the endpoint list that ended.
     watches_lost,
-    /// Polls of the endpoint list and watches on it that were begun, connected or not.
+    /// Polls and watches of the endpoint list that were started, including those that failed to connect.
     discovery_calls,
     /// Lists and heartbeats received from discovery.
     discovery_messages,
@@ -229,8 +229,8 @@
     reloads_failed,
 }
 
-/// The accounting of one request, from the head that named its class to its one final answer. Dropped without an
-/// outcome, it counts as gone; the gauge of requests in flight falls in any case.
+/// Counts one request, from its parsed header to its final response. A request that was accepted and is dropped without
+/// an outcome counts as gone. The drop also decrements the gauge of requests in flight.
 #[derive(Debug)]
 pub struct InFlightRequest {
     counters: Rc<Counters>,
@@ -240,7 +240,7 @@
 }
 
 impl InFlightRequest {
-    /// Counts the request as accepted: its last byte has come.
+    /// Counts the request as accepted. Only the first call has an effect.
     pub fn accept(&self) {
         if self.is_accepted.replace(true) {
             return;
@@ -249,7 +249,7 @@
         self.counters.in_flight.set(self.counters.in_flight.get() + 1);
     }
 
-    /// Counts its outcome; only the first one counts.
+    /// Counts the outcome of the request. Only the first call has an effect.
     pub fn finish(&self, outcome: FinalOutcome) {
         if self.is_finished.replace(true) {
             return;
@@ -274,18 +274,18 @@
 }
 
 impl Counters {
-    /// Counters of a head with classes of these names.
+    /// Creates counters that are all zero, for classes with these names.
     pub fn new(class_names: &[String]) -> Rc<Counters> {
         let classes = class_names.iter().map(|name| ClassCounters::new(name)).collect();
         Rc::new(Counters { classes, ..Counters::default() })
     }
 
-    /// Sets the gauges of load shedding.
+    /// Sets the gauges of the load-shedding levels.
     pub fn set_shedding(&self, shedding: SheddingGauges) {
         self.shedding.set(shedding);
     }
 
-    /// The accounting of a request that begins.
+    /// Starts to count a request of a class; it is not counted as accepted yet.
     pub fn track_request(self: &Rc<Self>, class: ClassId) -> InFlightRequest {
         InFlightRequest {
             counters: self.clone(),
@@ -303,12 +303,12 @@
         }
     }
 
-    /// The counters in the Prometheus exposition format, as the admin server answers it. `gauges` are measured
-    /// elsewhere.
+    /// Formats the counters in the Prometheus exposition format. `gauges` are names and values of additional gauges that
+    /// the caller measured.
     pub fn exposition(&self, gauges: &[(&str, usize)]) -> String {
         let mut text = String::from("# TYPE app_requests counter\n");
         for class in &self.classes {
-            for (outcome, count) in class.figures() {
+            for (outcome, count) in class.values() {
                 text += &format!("app_requests{{class=\"{}\",outcome=\"{outcome}\"}} {count}\n", class.name);
             }
         }
@@ -325,7 +325,7 @@
         text
     }
 
-    /// Counts the outcome of an attempt.
+    /// Counts an attempt by its outcome.
     pub fn count_attempt(&self, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Ok => self.ok.add(),
@@ -340,7 +340,7 @@
     }
 }
 
-/// Whether a figure is a gauge, which may fall.
+/// Whether the exported metric `name` is a gauge, whose value can decrease.
 pub fn is_gauge(name: &str) -> bool {
     GAUGES.contains(&name)
 }
--- a/src/metrics/event_loop.rs
+++ b/src/metrics/event_loop.rs
@@ -1,5 +1,5 @@
-//! Measures the turns of the event loop: the time from one poll of the system for I/O to the next, in which tasks run and
-//! nothing is read.
+//! Measures the turns of the event loop. A turn is the time between two polls for I/O, in which the runtime runs tasks and
+//! reads from no socket.
 
 use crate::metrics::counters::Counters;
 use std::cell::Cell;
@@ -9,53 +9,54 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// The figure tells of the longest turn within the last one to two of these.
+/// Length of a measurement window. The longest turn covers the current window and the one before it.
 const WINDOW: Duration = Duration::from_secs(10);
-/// A turn that counts as long. A head may be held up for 0.15 s between its clock and a write; a third of that in one
-/// turn is worth a look.
+/// Shortest turn that counts as long: a third of the 0.15 s that may pass in a head between reading the clock and a write.
 const LONG_TURN: Duration = Duration::from_millis(50);
 
-/// The longest turn of late.
+/// The longest turn of the current and the previous window.
 #[derive(Debug, Default)]
 pub struct LongestTurn {
-    window_began: Cell<Option<Instant>>,
+    window_start: Cell<Option<Instant>>,
     longest: Cell<Duration>,
-    longest_before: Cell<Duration>,
+    longest_in_previous_window: Cell<Duration>,
 }
 
 impl LongestTurn {
-    /// Records a turn that ends now.
+    /// Records a turn that ended at `now`.
     fn record(&self, turn: Duration, now: Instant) {
-        self.move_window(now);
+        self.rotate_window(now);
         self.longest.set(self.longest.get().max(turn));
     }
 
-    /// Begins a new window if the present one is over.
-    fn move_window(&self, now: Instant) {
-        let age = self.window_began.get().map(|began| now.saturating_duration_since(began));
+    /// Starts a new window if the current one has ended. Discards the current maximum if a whole window without turns
+    /// has passed since.
+    fn rotate_window(&self, now: Instant) {
+        let age = self.window_start.get().map(|start| now.saturating_duration_since(start));
         if age.is_some_and(|age| age < WINDOW) {
             return;
         }
-        let is_next = age.is_some_and(|age| age < WINDOW * 2);
-        self.longest_before.set(if is_next { self.longest.get() } else { Duration::ZERO });
+        let is_adjacent = age.is_some_and(|age| age < WINDOW * 2);
+        self.longest_in_previous_window.set(if is_adjacent { self.longest.get() } else { Duration::ZERO });
         self.longest.set(Duration::ZERO);
-        self.window_began.set(Some(now));
+        self.window_start.set(Some(now));
     }
 
-    /// The longest turn within the last 10 to 20 s.
+    /// Returns the longest turn of the last 10 to 20 s.
     pub fn get(&self) -> Duration {
-        self.longest.get().max(self.longest_before.get())
+        self.longest.get().max(self.longest_in_previous_window.get())
     }
 }
 
-/// The program's main future, whose polls are the turns: the runtime polls for I/O between two of them.
+/// A future that measures how long each poll of the main future takes. Each poll is one turn, since the single-threaded
+/// runtime polls for I/O between two polls of the main future.
 pub struct MeasuredTurns<F> {
     program: Pin<Box<F>>,
     counters: Rc<Counters>,
 }
 
 impl<F: Future> MeasuredTurns<F> {
-    /// Measures the turns of a local task set that runs `program`.
+    /// Wraps `program`, the main future passed to the runtime. Turns are recorded in `counters`.
     pub fn new(program: F, counters: Rc<Counters>) -> MeasuredTurns<F> {
         MeasuredTurns { program: Box::pin(program), counters }
     }
@@ -65,10 +66,10 @@
     type Output = F::Output;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
-        let began = Instant::now();
+        let start = Instant::now();
         let polled = self.program.as_mut().poll(cx);
         let now = Instant::now();
-        let turn = now.saturating_duration_since(began);
+        let turn = now.saturating_duration_since(start);
         self.counters.longest_turn.record(turn, now);
         if turn >= LONG_TURN {
             self.counters.long_turns.add();
--- a/src/metrics/event_loop/tests.rs
+++ b/src/metrics/event_loop/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Given a long turn and short ones after it, when a window passes, and another, then the figure still tells of it after
-/// the first and no more after the second.
+/// Guards against a maximum that is lost at the first change of window, before an exporter has read it, or that never
+/// expires.
 #[test]
-fn a_long_turn_is_told_for_one_window_or_two() {
+fn a_long_turn_is_reported_for_one_to_two_windows() {
     let longest = LongestTurn::default();
     let start = Instant::now();
     let (long, short) = (Duration::from_millis(120), Duration::from_micros(40));
@@ -16,9 +16,9 @@
     assert_eq!(longest.get(), short);
 }
 
-/// Given a head that rested for several windows, when it turns again, then an old long turn is no longer told.
+/// Guards against reporting an old turn as recent after an idle time of several windows.
 #[test]
-fn a_turn_before_a_long_rest_is_forgotten() {
+fn a_turn_before_several_idle_windows_is_discarded() {
     let longest = LongestTurn::default();
     let start = Instant::now();
     longest.record(Duration::from_millis(120), start);
@@ -26,7 +26,7 @@
     assert_eq!(longest.get(), Duration::from_micros(40));
 }
 
-/// Given a program that blocks in one of its turns, when it is measured, then that turn is counted and told.
+/// A future that blocks the thread in one poll counts as one long turn.
 #[test]
 fn a_blocking_turn_is_counted() {
     let counters = Rc::new(Counters::default());
--- a/src/metrics/export.rs
+++ b/src/metrics/export.rs
@@ -1,5 +1,5 @@
-//! Export of the counters: to Graphite in its plaintext protocol, and to collectd as PUTVAL commands of its plain
-//! text protocol. Each is off unless the operators' file names it.
+//! Exporters of the counters: to Graphite in its plaintext protocol, and to collectd as PUTVAL commands of its plain text
+//! protocol. Each exporter is off unless the operators' file configures it.
 
 use crate::metrics::counters::{Counters, is_gauge};
 use serde::Deserialize;
@@ -12,24 +12,24 @@
 use tokio::net::{TcpStream, UnixStream};
 use tokio::time::{Interval, MissedTickBehavior, interval, timeout};
 
-/// How long one report to a collector may take.
+/// Timeout for one report to a collector.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Shortest interval between two reports.
+/// Minimum interval between two reports; a shorter configured interval is raised to it.
 const MIN_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest status line that is read from collectd, in bytes.
-const MAX_STATUS_LINE: u64 = 1024;
+/// Maximum length of a status line read from collectd, in bytes.
+const MAX_STATUS_LINE_BYTES: u64 = 1024;
 
-/// Why a report failed.
+/// A failed report. The exporter tries again at the next interval.
 #[derive(Debug, Error)]
 pub enum ExportError {
-    /// The connection to the collector failed.
+    /// Connecting, writing or reading failed.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
-    /// The collector did not accept the report in time.
-    #[error("no answer within {REPORT_TIMEOUT:?}")]
+    /// The report was not complete within [`REPORT_TIMEOUT`].
+    #[error("report not accepted within {REPORT_TIMEOUT:?}")]
     Timeout,
-    /// The collector rejected a value; its status line.
-    #[error("turned down: {0}")]
+    /// Collectd rejected a value; holds its status line.
+    #[error("value rejected: {0}")]
     Rejected(String),
 }
 
@@ -37,9 +37,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Graphite {
-    /// The address of its plaintext port.
+    /// Address of Graphite's plaintext protocol.
     pub address: SocketAddr,
-    /// What each metric's path starts with.
+    /// Prefix of each metric's path.
     pub prefix: String,
     /// Seconds between two reports.
     pub interval: f64,
@@ -49,15 +49,15 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Collectd {
-    /// The socket of its unixsock plugin.
+    /// Path of the socket of collectd's unixsock plugin.
     pub socket: PathBuf,
-    /// The host part of each identifier.
+    /// Host part of each collectd identifier.
     pub host: String,
     /// Seconds between two reports.
     pub interval: f64,
 }
 
-/// A report's lines for Graphite: path, value, Unix time.
+/// Formats a report for Graphite: one line for each metric, with path, value and Unix time in seconds.
 pub fn graphite_lines(counters: &Counters, prefix: &str, unix_time: u64) -> String {
     let mut lines = String::new();
     for (name, value) in counters.figures() {
@@ -66,7 +66,8 @@
     lines
 }
 
-/// A report's commands for collectd: each counter is a DERIVE, whose rate collectd computes, or a GAUGE.
+/// Formats a report for collectd: one PUTVAL command for each metric. Counters have the type `derive`, of which collectd
+/// computes the rate; gauges have the type `gauge`.
 pub fn collectd_lines(counters: &Counters, host: &str, interval: f64) -> Vec<String> {
     let mut lines = Vec::new();
     for (name, value) in counters.figures() {
@@ -76,7 +77,7 @@
     lines
 }
 
-/// Reports to Graphite at each interval, over one connection as long as that lasts.
+/// Reports to Graphite at each interval. Reuses the connection until a report fails. Never returns.
 pub async fn run_graphite(settings: Graphite, counters: Rc<Counters>) {
     let mut ticks = report_ticks(settings.interval);
     let mut connection: Option<TcpStream> = None;
@@ -87,25 +88,25 @@
         let report = report_to_graphite(connection.take(), settings.address, &lines);
         match with_timeout(report).await {
             Ok(open) => connection = Some(open),
-            Err(problem) => log::warn!("export: graphite: {problem}"),
+            Err(error) => log::warn!("export: graphite: {error}"),
         }
     }
 }
 
-/// Reports to collectd at each interval, over a new connection each time.
+/// Reports to collectd at each interval, over a new connection for each report. Never returns.
 pub async fn run_collectd(settings: Collectd, counters: Rc<Counters>) {
     let mut ticks = report_ticks(settings.interval);
     loop {
         ticks.tick().await;
         let lines = collectd_lines(&counters, &settings.host, settings.interval);
         let report = report_to_collectd(&settings.socket, &lines);
-        if let Err(problem) = with_timeout(report).await {
-            log::warn!("export: collectd: {problem}");
+        if let Err(error) = with_timeout(report).await {
+            log::warn!("export: collectd: {error}");
         }
     }
 }
 
-/// Sends a report and returns the connection for the next one.
+/// Sends a report over `connection`, or over a new one if there is none. Returns the connection for the next report.
 async fn report_to_graphite(
     connection: Option<TcpStream>,
     address: SocketAddr,
@@ -119,14 +120,14 @@
     Ok(connection)
 }
 
-/// Sends a report and reads the status of each command.
+/// Sends the commands one by one and checks the status line of each.
 async fn report_to_collectd(socket: &Path, lines: &[String]) -> Result<(), ExportError> {
     let (reader, mut writer) = UnixStream::connect(socket).await?.into_split();
     let mut reader = BufReader::new(reader);
     for line in lines {
         writer.write_all(line.as_bytes()).await?;
         let mut status = String::new();
-        (&mut reader).take(MAX_STATUS_LINE).read_line(&mut status).await?;
+        (&mut reader).take(MAX_STATUS_LINE_BYTES).read_line(&mut status).await?;
         if !is_success(&status) {
             return Err(ExportError::Rejected(status.trim().into()));
         }
@@ -134,7 +135,7 @@
     Ok(())
 }
 
-/// Whether a status line of collectd reports success: it starts with a number, which is negative for an error.
+/// Whether a status line of collectd reports success. It starts with a number, which is negative for an error.
 fn is_success(status: &str) -> bool {
     let code = status.split(' ').next().and_then(|word| word.parse::<i64>().ok());
     code.is_some_and(|code| code >= 0)
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Counters of the head, and their export to Graphite and collectd.
+//! Counters and gauges of the head, their exporters, and the measurement of event loop turns.
 
 pub mod counters;
 pub mod event_loop;
--- a/src/plugin.rs
+++ b/src/plugin.rs
@@ -1,7 +1,7 @@
-//! The plug-in hook: a script that observes requests and responses, and decides nothing.
+//! The plug-in: a Rhai script that observes requests and responses but can't change how they are handled.
 //!
-//! The script is limited in steps and in the size of what it keeps. Whatever goes wrong in it is counted and logged;
-//! after several failures in a row it is switched off. It has no files, no sockets and no clock.
+//! The number of steps of a call and the size of values are limited, and the script has no access to files, sockets or
+//! clocks. Failed calls are counted and logged; after [`MAX_FAILURES`] consecutive failures the script is switched off.
 
 use crate::core::{Answer, Call, Observer, Operation};
 use crate::metrics::counters::Counters;
@@ -13,78 +13,80 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Failures in a row after which the script is switched off.
+/// Consecutive failed calls after which the script is switched off.
 const MAX_FAILURES: u32 = 10;
-/// Longest line that a script may log, in characters.
+/// Maximum length of a line logged by a script, in characters; longer lines are truncated.
 const MAX_LINE_CHARS: usize = 200;
-/// Deepest nesting of calls in a script.
+/// Maximum depth of nested function calls in a script.
 const MAX_CALL_DEPTH: usize = 8;
-/// Most variables in a script's scope.
+/// Maximum number of variables in scope.
 const MAX_VARIABLES: usize = 64;
-/// Deepest nesting of an expression outside functions.
+/// Maximum depth of an expression outside functions.
 const MAX_EXPRESSION_DEPTH: usize = 32;
-/// Deepest nesting of an expression inside functions.
+/// Maximum depth of an expression inside functions.
 const MAX_FUNCTION_EXPRESSION_DEPTH: usize = 16;
-/// Characters of a text for each element that a list or map may have.
-const CHARS_PER_ELEMENT: usize = 16;
+/// Maximum string length, as a multiple of the configured maximum number of elements.
+const STRING_BYTES_PER_ELEMENT: usize = 16;
 
-/// The script's function that is called at each request.
+/// Name of the script's function that is called for each accepted request.
 const REQUEST_HOOK: &str = "on_request";
-/// The script's function that is called at each response.
+/// Name of the script's function that is called for each response.
 const RESPONSE_HOOK: &str = "on_answer";
 
-/// A script that can't be used: a mistake of whoever configured it.
+/// A script that can't be loaded.
 #[derive(Debug, Error)]
 pub enum PluginError {
     /// The file can't be read.
     #[error("plug-in {path}: {source}")]
     Unreadable {
-        /// The script's file.
+        /// Path of the script.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The text is no script.
+    /// The script has a syntax error or exceeds a limit of the parser.
     #[error("plug-in: {0}")]
     Malformed(#[from] rhai::ParseError),
 }
 
-/// Which script, and its limits.
+/// Settings of the plug-in.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PluginConfig {
-    /// The script's file.
+    /// Path of the script.
     pub script: PathBuf,
-    /// Most steps of one call.
+    /// Maximum number of steps (Rhai operations) of one call.
     pub max_steps: u64,
-    /// Most elements of a list or map, and, times 16, characters of a text.
+    /// Maximum number of elements of an array or map. Strings may have 16 bytes for each of them.
     pub max_size: usize,
 }
 
-/// A script with the state that it keeps between calls.
+/// A compiled script and the state that it keeps between calls.
 pub struct Plugin {
     engine: Engine,
     script: AST,
     state: RefCell<Dynamic>,
-    failures_in_a_row: Cell<u32>,
+    consecutive_failures: Cell<u32>,
     counters: Rc<Counters>,
 }
 
 impl Plugin {
-    /// Loads the script that the configuration names.
+    /// Reads and compiles the configured script.
     ///
     /// # Errors
-    /// The file can't be read, or is no script.
+    ///
+    /// [`PluginError`] if the file can't be read or compiled.
     pub fn load(config: &PluginConfig, counters: Rc<Counters>) -> Result<Plugin, PluginError> {
         let text = std::fs::read_to_string(&config.script)
             .map_err(|source| PluginError::Unreadable { path: config.script.clone(), source })?;
         Plugin::new(&text, config, counters)
     }
 
-    /// Compiles a script's text.
+    /// Compiles a script from its text.
     ///
     /// # Errors
-    /// The text is no script.
+    ///
+    /// [`PluginError::Malformed`] if the text can't be compiled.
     pub fn new(text: &str, config: &PluginConfig, counters: Rc<Counters>) -> Result<Plugin, PluginError> {
         let engine = limited_engine(config);
         let script = engine.compile(text)?;
@@ -92,14 +94,15 @@
             engine,
             script,
             state: RefCell::new(Map::new().into()),
-            failures_in_a_row: Cell::new(0),
+            consecutive_failures: Cell::new(0),
             counters,
         })
     }
 
-    /// Calls one of the script's functions, if it has it and is not switched off; `this` is the state it keeps.
+    /// Calls a function of the script, with the script's state as `this`. Does nothing if the script does not define the
+    /// function or is switched off.
     fn call(&self, hook: &str, argument: Map) {
-        if !self.has_hook(hook) || self.failures_in_a_row.get() >= MAX_FAILURES {
+        if !self.has_hook(hook) || self.consecutive_failures.get() >= MAX_FAILURES {
             return;
         }
         let state = &mut *self.state.borrow_mut();
@@ -112,7 +115,7 @@
             (argument,),
         );
         match result {
-            Ok(_) => self.failures_in_a_row.set(0),
+            Ok(_) => self.consecutive_failures.set(0),
             Err(error) => self.record_failure(hook, &error),
         }
     }
@@ -123,14 +126,14 @@
 
     fn record_failure(&self, hook: &str, error: &rhai::EvalAltResult) {
         self.counters.plugin_failures.add();
-        let failures = self.failures_in_a_row.get() + 1;
-        self.failures_in_a_row.set(failures);
+        let failures = self.consecutive_failures.get() + 1;
+        self.consecutive_failures.set(failures);
         let switched_off = if failures == MAX_FAILURES { ", switched off" } else { "" };
         log::warn!("plug-in: {hook}: {error}{switched_off}");
     }
 }
 
-/// An engine with the limits of the configuration.
+/// Creates a script engine with the configured limits.
 fn limited_engine(config: &PluginConfig) -> Engine {
     let max_size = config.max_size.max(1);
     let mut engine = Engine::new();
@@ -140,19 +143,19 @@
     engine.set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_FUNCTION_EXPRESSION_DEPTH);
     engine.set_max_array_size(max_size);
     engine.set_max_map_size(max_size);
-    engine.set_max_string_size(max_size * CHARS_PER_ELEMENT);
+    engine.set_max_string_size(max_size * STRING_BYTES_PER_ELEMENT);
     engine.disable_symbol("eval");
-    engine.on_print(|text| log::info!("plug-in: {}", shortened(text)));
-    engine.on_debug(|text, _, _| log::debug!("plug-in: {}", shortened(text)));
+    engine.on_print(|text| log::info!("plug-in: {}", truncated(text)));
+    engine.on_debug(|text, _, _| log::debug!("plug-in: {}", truncated(text)));
     engine
 }
 
-/// What fits on a log line of a text.
-fn shortened(text: &str) -> String {
+/// Truncates a text to [`MAX_LINE_CHARS`].
+fn truncated(text: &str) -> String {
     text.chars().take(MAX_LINE_CHARS).collect()
 }
 
-/// What a script is told of a request. The keys are the script's interface.
+/// The properties of a request that are passed to the script. Scripts depend on the keys.
 fn request_fields(call: &Call) -> Map {
     let is_write = call.node_request.operation == Operation::Write;
     let mut fields = Map::new();
@@ -165,8 +168,8 @@
     fields
 }
 
-/// What a script is told of a response. The keys and words are the script's interface.
-fn response_fields(call: &Call, answer: &Answer, after: Duration) -> Map {
+/// The properties of a response that are passed to the script. Scripts depend on the keys and on the names of outcomes.
+fn response_fields(call: &Call, answer: &Answer, latency: Duration) -> Map {
     let (outcome, retry_after_s) = match answer {
         Answer::Served(..) => ("served", 0.0),
         Answer::Rejected { retry_after_s } => ("refused", *retry_after_s),
@@ -175,7 +178,7 @@
     let mut fields = request_fields(call);
     fields.insert("answer".into(), outcome.into());
     fields.insert("wait".into(), retry_after_s.into());
-    fields.insert("seconds".into(), after.as_secs_f64().into());
+    fields.insert("seconds".into(), latency.as_secs_f64().into());
     fields
 }
 
--- a/tests/scenarios_ops.rs
+++ b/tests/scenarios_ops.rs
@@ -67,7 +67,7 @@
     assert!(lines.next().expect("the next value").contains("derive-served"));
     out.write_all(b"-1 No such type.\n").expect("written");
     assert!(lines.next().is_none(), "given up for this time");
-    wait(|| head.logged("turned down: -1 No such type."));
+    wait(|| head.logged("value rejected: -1 No such type."));
     std::fs::remove_file(socket).expect("removed");
 }
 
