--- a/src/bin/flaxgap-simhost/decode.rs
+++ b/src/bin/flaxgap-simhost/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of the records that come in: endpoint lists and events.
+//! Decodes the simulator's records: endpoint lists and events.
 
 use crate::wire::{FrameError, Reader};
 use flaxgap::config;
@@ -8,11 +8,11 @@
 };
 use std::collections::BTreeMap;
 
-/// The codes of the records that come in.
+/// Type codes of the simulator's records.
 pub struct RecordCode;
 
 impl RecordCode {
-    /// A new instance.
+    /// Starts an instance.
     pub const LAUNCH: u8 = 10;
     const ENDPOINT_UPDATE: u8 = 20;
     const REQUEST_ARRIVED: u8 = 30;
@@ -22,24 +22,24 @@
     const WAKE_UP: u8 = 70;
     const HEALTH_CHECKED: u8 = 80;
     const IGNORED: u8 = 90;
-    /// The end of an instance.
+    /// Stops an instance.
     pub const STOP: u8 = 100;
-    /// An endpoint list that later records refer to.
+    /// Defines an endpoint list, to which later records refer by its id.
     pub const ENDPOINT_LIST: u8 = 110;
 }
 
-/// The flag of a request that its client marked as a retry.
+/// Flag of a request that its client marked as a retry.
 const CLIENT_RETRY_FLAG: u8 = 2;
 
-/// An endpoint list and the id by which later records refer to it.
+/// An endpoint list with the id by which later records refer to it.
 pub struct EndpointList {
-    /// The id.
+    /// Id of the list.
     pub id: u32,
-    /// The entries.
+    /// Entries of the list.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Decodes an endpoint list.
+/// Decodes a record of type [`RecordCode::ENDPOINT_LIST`], after its code.
 pub fn endpoint_list(reader: &mut Reader) -> Result<EndpointList, FrameError> {
     let id = reader.u32()?;
     let count = reader.u32()?;
@@ -66,8 +66,10 @@
     Ok(Endpoint { node, shard, started_at, zone, state })
 }
 
-/// Decodes an event; `None` for a record that the scheduler has no event for. `report_names` are the names of a load
-/// report's values, `lists` the endpoint lists given so far.
+/// Decodes the event of a record of type `code`. Returns `None` for a record without a corresponding scheduler event.
+///
+/// `report_names` are the names of the values in load reports, in their order; `lists` holds the endpoint lists received
+/// so far.
 pub fn event(
     code: u8,
     reader: &mut Reader,
@@ -129,7 +131,7 @@
     let outcome = attempt_outcome(reader.u16()?)?;
     let elapsed_s = reader.f64()?;
     let request_done = reader.u8()? != 0;
-    // 0 stands for no figure; others are one above the percentage.
+    // 0 means that the usage is unknown; other codes are the percentage plus one.
     let usage_code = reader.u16()?;
     let usage_elsewhere = f64::from(reader.u16()?);
     let load_report = load_report(reader, report_names)?;
--- a/src/bin/flaxgap-simhost/encode.rs
+++ b/src/bin/flaxgap-simhost/encode.rs
@@ -1,4 +1,4 @@
-//! Encoding of the records that go out: actions.
+//! Encodes the scheduler's actions as records for the simulator.
 
 use crate::wire::Reply;
 use flaxgap::scheduler::Action;
@@ -13,7 +13,7 @@
 const CHECK_HEALTH: u8 = 110;
 const REJECT: u8 = 120;
 
-/// Encodes an action of an instance.
+/// Appends a record with an action of an instance to the reply.
 pub fn action(action: &Action, instance_id: u32, reply: &mut Reply) {
     match action {
         Action::Send { request, node, expires_at } => {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Encodes that an instance's scheduler panicked.
+/// Appends a record that reports a panic of an instance's scheduler to the reply.
 pub fn panicked(instance_id: u32, reply: &mut Reply) {
     reply.record(PANICKED, instance_id).text("the decision module panicked");
 }
--- a/src/bin/flaxgap-simhost/host.rs
+++ b/src/bin/flaxgap-simhost/host.rs
@@ -1,4 +1,4 @@
-//! The instances of a simulated host, and the endpoint lists that its frames refer to.
+//! The scheduler instances of a simulated host, and the endpoint lists to which their events refer.
 
 use crate::decode::{self, RecordCode};
 use crate::encode;
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// One scheduler and the events that wait for the end of the batch.
+/// A scheduler with its events of the current batch.
 struct Instance {
     scheduler: Scheduler,
     wire_settings: WireSettings,
     events: Vec<Event>,
 }
 
-/// All instances, by their ids, and all endpoint lists that were given, by theirs.
+/// All running instances, and all endpoint lists received so far, by id.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
@@ -24,11 +24,11 @@
 }
 
 impl Host {
-    /// Takes in a batch's records, then calls each instance that they were for once, in the order in which they were
-    /// first met.
+    /// Decodes the records of a batch, then calls the scheduler of each instance with a record in the batch once. The
+    /// instances are called in the order of their first records.
     pub fn handle_batch(&mut self, header: &BatchHeader, body: &[u8]) -> Result<Reply, FrameError> {
         let mut reader = Reader::new(body);
-        let mut touched = Vec::new();
+        let mut instance_ids = Vec::new();
         while !reader.is_at_end() {
             let code = reader.u8()?;
             if code == RecordCode::ENDPOINT_LIST {
@@ -38,12 +38,12 @@
             }
             let instance_id = reader.u32()?;
             self.handle_record(code, instance_id, header.clock, &mut reader)?;
-            if !touched.contains(&instance_id) {
-                touched.push(instance_id);
+            if !instance_ids.contains(&instance_id) {
+                instance_ids.push(instance_id);
             }
         }
         let mut reply = Reply::default();
-        for instance_id in touched {
+        for instance_id in instance_ids {
             if let Some(instance) = self.instances.get_mut(&instance_id) {
                 instance.handle_events(instance_id, header.clock, &mut reply);
             }
@@ -81,10 +81,11 @@
         Ok(())
     }
 
-    /// Decodes an event, also one for an unknown instance, so that the reader is past it.
+    /// Decodes an event and queues it for its instance. An event for an unknown instance is decoded and dropped, so that
+    /// the reader advances to the next record.
     fn queue_event(&mut self, code: u8, instance_id: u32, reader: &mut Reader) -> Result<(), FrameError> {
         let instance = self.instances.get_mut(&instance_id);
-        let report_names = instance.as_ref().map_or(&[][..], |one| &one.wire_settings.report_names);
+        let report_names = instance.as_ref().map_or(&[][..], |instance| &instance.wire_settings.report_names);
         let event = decode::event(code, reader, report_names, &self.endpoint_lists)?;
         if let (Some(event), Some(instance)) = (event, instance) {
             instance.events.push(event);
--- a/src/bin/flaxgap-simhost/main.rs
+++ b/src/bin/flaxgap-simhost/main.rs
@@ -1,4 +1,5 @@
-//! The adapter for the simulator's wire: frames in, frames out, one scheduler for each instance. It decides nothing.
+//! Adapter between the simulator and the scheduler: reads binary frames from stdin, runs one scheduler for each instance,
+//! and writes the resulting actions to stdout. It contains no scheduling logic.
 
 mod decode;
 mod encode;
@@ -20,7 +21,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Reads batches and writes a reply to each of them, until the input ends.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), FrameError> {
     let mut host = Host::default();
     while let Some(header) = read_header(input)? {
@@ -32,7 +33,7 @@
     Ok(())
 }
 
-/// The next batch's header; `None` where the input ends between two batches.
+/// Reads the header of the next batch; `None` if the input ends before it.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, FrameError> {
     let mut bytes = Vec::new();
     input.take(HEADER_BYTES as u64).read_to_end(&mut bytes).map_err(FrameError::Input)?;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -89,7 +89,7 @@
     fails_with(&short, "impossible length");
     fails_with(&batch(&[200, 0, 0, 0, 0]), "unknown event code 200");
     fails_with(&batch(&[60, 0, 0]), "cut short");
-    fails_with(&batch(&[20, 0, 0, 0, 0, 1, 0, 0, 0, 2, 3, 0, 0, 0]), "never given");
+    fails_with(&batch(&[20, 0, 0, 0, 0, 1, 0, 0, 0, 2, 3, 0, 0, 0]), "not defined");
 }
 
 #[test]
