--- a/crates/streams/src/abuse.rs
+++ b/crates/streams/src/abuse.rs
@@ -1,139 +1,156 @@
-//! Budgets of what costs a server more than it costs its sender. Each kind of frame has one that fills at a rate; a
-//! connection that has spent one is ended with ENHANCE_YOUR_CALM (RFC 9113, section 10.5), and others notice nothing.
+//! Rate limits on frames that cost a server more than they cost their sender. Each connection has a token bucket per
+//! [`FloodKind`]; a connection that exhausts one is closed with ENHANCE_YOUR_CALM (RFC 9113, section 10.5), and other
+//! connections are not affected.
 
-use crate::frames::{Head, flag, kind};
+use crate::frames::{FrameHeader, flag, kind};
 use std::fmt;
 
-/// What a connection may spend of one kind.
+/// Rate limit of one connection on one kind of frame.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
-    /// Frames a second, for as long as it lasts.
+pub struct RateLimit {
+    /// Sustained rate, in frames per second.
     pub rate: f64,
-    /// Frames at once.
+    /// Largest burst, in frames.
     pub burst: f64,
 }
 
-/// What is counted.
+/// A kind of frame with a rate limit of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// Streams opened and reset by the client.
+pub enum FloodKind {
+    /// RST_STREAM, by which a client can open streams and cancel them at once.
     Resets,
-    /// SETTINGS, each of which has to be acknowledged.
+    /// SETTINGS without ACK, each of which has to be acknowledged.
     Settings,
-    /// PING, each of which has to be answered.
+    /// PING without ACK, each of which has to be answered.
     Pings,
-    /// DATA without data and without an end.
+    /// DATA without data and without END_STREAM.
     Empty,
-    /// CONTINUATION that a field section drags on with.
+    /// CONTINUATION, with which a client can prolong a field section.
     Continuations,
-    /// PRIORITY, and frames of types that are not known: they mean nothing here.
+    /// PRIORITY and frames of unknown types, which are ignored.
     Idle,
-    /// WINDOW_UPDATE, more than there can be use for.
+    /// WINDOW_UPDATE.
     Updates,
 }
 
-/// All of them.
-pub const KINDS: [Kind; 7] =
-    [Kind::Resets, Kind::Settings, Kind::Pings, Kind::Empty, Kind::Continuations, Kind::Idle, Kind::Updates];
+/// Every kind, in the order of [`FrameLimits::by_kind`].
+pub const FLOOD_KINDS: [FloodKind; 7] = [
+    FloodKind::Resets,
+    FloodKind::Settings,
+    FloodKind::Pings,
+    FloodKind::Empty,
+    FloodKind::Continuations,
+    FloodKind::Idle,
+    FloodKind::Updates,
+];
 
-impl fmt::Display for Kind {
+impl fmt::Display for FloodKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Kind::Resets => "resets",
-            Kind::Settings => "settings",
-            Kind::Pings => "pings",
-            Kind::Empty => "empty frames",
-            Kind::Continuations => "continuations",
-            Kind::Idle => "frames without a meaning",
-            Kind::Updates => "window updates",
+            FloodKind::Resets => "resets",
+            FloodKind::Settings => "settings",
+            FloodKind::Pings => "pings",
+            FloodKind::Empty => "empty frames",
+            FloodKind::Continuations => "continuations",
+            FloodKind::Idle => "PRIORITY or unknown frames",
+            FloodKind::Updates => "window updates",
         })
     }
 }
 
-/// The allowance of each kind.
+/// Rate limits of one connection on all kinds of frames.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowances {
-    /// In the order of [`KINDS`].
-    pub of: [Allowance; KINDS.len()],
+pub struct FrameLimits {
+    /// The limit of each kind, in the order of [`FLOOD_KINDS`].
+    pub by_kind: [RateLimit; FLOOD_KINDS.len()],
 }
 
-impl Default for Allowances {
+impl Default for FrameLimits {
     fn default() -> Self {
-        let of = |rate, burst| Allowance { rate, burst };
-        Allowances {
-            of: [
-                of(100.0, 400.0),
-                of(1.0, 20.0),
-                of(5.0, 50.0),
-                of(10.0, 100.0),
-                of(20.0, 64.0),
-                of(20.0, 400.0),
-                of(5000.0, 20_000.0),
+        let limit = |rate, burst| RateLimit { rate, burst };
+        FrameLimits {
+            by_kind: [
+                limit(100.0, 400.0),
+                limit(1.0, 20.0),
+                limit(5.0, 50.0),
+                limit(10.0, 100.0),
+                limit(20.0, 64.0),
+                limit(20.0, 400.0),
+                limit(5000.0, 20_000.0),
             ],
         }
     }
 }
 
-/// One connection's budgets.
+/// Token buckets of one connection.
 #[derive(Clone, Debug)]
-pub struct Scores {
-    allowances: Allowances,
-    stores: [f64; KINDS.len()],
-    at: f64,
-    spent: Option<Kind>,
+pub struct FrameBudgets {
+    limits: FrameLimits,
+    /// Frames left in each bucket, in the order of [`FLOOD_KINDS`].
+    tokens: [f64; FLOOD_KINDS.len()],
+    /// When the buckets were last refilled.
+    refilled_at: f64,
+    exhausted: Option<FloodKind>,
 }
 
-impl Scores {
-    /// All budgets are full.
-    pub fn new(allowances: Allowances, now: f64) -> Scores {
-        Scores { allowances, stores: allowances.of.map(|a| a.burst), at: now, spent: None }
+impl FrameBudgets {
+    /// Creates buckets that are full at `now`.
+    pub fn new(limits: FrameLimits, now: f64) -> FrameBudgets {
+        FrameBudgets {
+            limits,
+            tokens: limits.by_kind.map(|limit| limit.burst),
+            refilled_at: now,
+            exhausted: None,
+        }
     }
 
-    /// What kind a frame of a client is counted as.
-    pub fn kind(head: &Head) -> Option<Kind> {
-        match head.kind {
-            kind::RST_STREAM => Some(Kind::Resets),
-            kind::SETTINGS if head.flags & flag::ACK == 0 => Some(Kind::Settings),
-            kind::PING if head.flags & flag::ACK == 0 => Some(Kind::Pings),
-            kind::DATA if head.length == 0 && head.flags & flag::END_STREAM == 0 => Some(Kind::Empty),
-            // Padding alone is no data either.
+    /// Returns the kind that a client's frame counts as; `None` if frames of its type are not limited.
+    pub fn flood_kind(header: &FrameHeader) -> Option<FloodKind> {
+        match header.kind {
+            kind::RST_STREAM => Some(FloodKind::Resets),
+            kind::SETTINGS if header.flags & flag::ACK == 0 => Some(FloodKind::Settings),
+            kind::PING if header.flags & flag::ACK == 0 => Some(FloodKind::Pings),
+            kind::DATA if header.length == 0 && header.flags & flag::END_STREAM == 0 => {
+                Some(FloodKind::Empty)
+            }
+            // A frame that may hold nothing but padding counts as empty too.
             kind::DATA
-                if head.flags & flag::PADDED != 0
-                    && head.length <= 256
-                    && head.flags & flag::END_STREAM == 0 =>
+                if header.flags & flag::PADDED != 0
+                    && header.length <= 256
+                    && header.flags & flag::END_STREAM == 0 =>
             {
-                Some(Kind::Empty)
+                Some(FloodKind::Empty)
             }
-            kind::CONTINUATION => Some(Kind::Continuations),
-            kind::WINDOW_UPDATE => Some(Kind::Updates),
-            kind::PRIORITY => Some(Kind::Idle),
+            kind::CONTINUATION => Some(FloodKind::Continuations),
+            kind::WINDOW_UPDATE => Some(FloodKind::Updates),
+            kind::PRIORITY => Some(FloodKind::Idle),
             kind::DATA | kind::HEADERS | kind::PUSH_PROMISE | kind::GOAWAY | kind::SETTINGS | kind::PING => {
                 None
             }
-            _ => Some(Kind::Idle),
+            _ => Some(FloodKind::Idle),
         }
     }
 
-    /// Counts a frame; the kind whose budget is spent, from then on for good.
-    pub fn count(&mut self, now: f64, head: &Head) -> Option<Kind> {
-        let passed = (now - self.at).max(0.0);
-        self.at = self.at.max(now);
-        for (store, allowance) in self.stores.iter_mut().zip(&self.allowances.of) {
-            *store = (*store + passed * allowance.rate).min(allowance.burst);
+    /// Counts a frame. Returns the first kind whose bucket was exhausted, also on every later call.
+    pub fn count(&mut self, now: f64, header: &FrameHeader) -> Option<FloodKind> {
+        let elapsed = (now - self.refilled_at).max(0.0);
+        self.refilled_at = self.refilled_at.max(now);
+        for (tokens, limit) in self.tokens.iter_mut().zip(&self.limits.by_kind) {
+            *tokens = (*tokens + elapsed * limit.rate).min(limit.burst);
         }
-        if let Some(kind) = Scores::kind(head) {
-            let store = &mut self.stores[kind as usize];
-            *store -= 1.0;
-            if *store < 0.0 {
-                self.spent.get_or_insert(kind);
+        if let Some(kind) = FrameBudgets::flood_kind(header) {
+            let tokens = &mut self.tokens[kind as usize];
+            *tokens -= 1.0;
+            if *tokens < 0.0 {
+                self.exhausted.get_or_insert(kind);
             }
         }
-        self.spent
+        self.exhausted
     }
 
-    /// The kind whose budget is spent.
-    pub fn spent(&self) -> Option<Kind> {
-        self.spent
+    /// Returns the first kind whose bucket was exhausted.
+    pub fn exhausted(&self) -> Option<FloodKind> {
+        self.exhausted
     }
 }
 
--- a/crates/streams/src/abuse/tests.rs
+++ b/crates/streams/src/abuse/tests.rs
@@ -1,37 +1,45 @@
-//! Tests of this module's private parts.
+//! Tests of the rate limits on frames.
 
 use super::*;
 
-fn head(kind: u8, flags: u8, length: u32) -> Head {
-    Head { length, kind, flags, stream: 1 }
+fn header(kind: u8, flags: u8, length: u32) -> FrameHeader {
+    FrameHeader { length, kind, flags, stream: 1 }
 }
 
-/// Guards against floods of each kind, and against ending a connection that only works hard.
+/// A flood of each kind of frame is detected once its burst is used up; frames at the sustained rate are not a flood, and
+/// requests and answers are not limited.
 #[test]
-fn floods_are_seen_by_kind_and_steady_work_is_not() {
+fn floods_are_detected_by_kind_and_sustained_rates_are_allowed() {
     let floods = [
-        (head(kind::RST_STREAM, 0, 4), Kind::Resets),
-        (head(kind::SETTINGS, 0, 0), Kind::Settings),
-        (head(kind::PING, 0, 8), Kind::Pings),
-        (head(kind::DATA, 0, 0), Kind::Empty),
-        (head(kind::DATA, flag::PADDED, 256), Kind::Empty),
-        (head(kind::CONTINUATION, 0, 1), Kind::Continuations),
-        (head(kind::PRIORITY, 0, 5), Kind::Idle),
-        (head(0xb, 0, 0), Kind::Idle),
-        (head(kind::WINDOW_UPDATE, 0, 4), Kind::Updates),
+        (header(kind::RST_STREAM, 0, 4), FloodKind::Resets),
+        (header(kind::SETTINGS, 0, 0), FloodKind::Settings),
+        (header(kind::PING, 0, 8), FloodKind::Pings),
+        (header(kind::DATA, 0, 0), FloodKind::Empty),
+        (header(kind::DATA, flag::PADDED, 256), FloodKind::Empty),
+        (header(kind::CONTINUATION, 0, 1), FloodKind::Continuations),
+        (header(kind::PRIORITY, 0, 5), FloodKind::Idle),
+        (header(0xb, 0, 0), FloodKind::Idle),
+        (header(kind::WINDOW_UPDATE, 0, 4), FloodKind::Updates),
     ];
     for (frame, kind) in floods {
-        let allowance = Allowances::default().of[kind as usize];
-        let mut scores = Scores::new(Allowances::default(), 0.0);
-        let steady = (0..4000).find_map(|n| scores.count(f64::from(n) / allowance.rate * 1.01, &frame));
-        assert_eq!(steady, None, "{kind} at their rate");
-        let mut scores = Scores::new(Allowances::default(), 0.0);
-        let at = (0..30_000).find(|_| scores.count(0.0, &frame).is_some());
-        assert_eq!(at, Some(allowance.burst as i32), "{kind} at once");
-        assert_eq!(scores.count(1e6, &head(kind::DATA, 0, 9)), Some(kind), "for good");
+        let limit = FrameLimits::default().by_kind[kind as usize];
+        let mut budgets = FrameBudgets::new(FrameLimits::default(), 0.0);
+        let flood_at_rate = (0..4000).find_map(|n| budgets.count(f64::from(n) / limit.rate * 1.01, &frame));
+        assert_eq!(flood_at_rate, None, "{kind} at the sustained rate");
+        let mut budgets = FrameBudgets::new(FrameLimits::default(), 0.0);
+        let flood_at = (0..30_000).find(|_| budgets.count(0.0, &frame).is_some());
+        assert_eq!(flood_at, Some(limit.burst as i32), "{kind} in one burst");
+        assert_eq!(
+            budgets.count(1e6, &header(kind::DATA, 0, 9)),
+            Some(kind),
+            "an exhausted bucket stays exhausted"
+        );
     }
-    let mut scores = Scores::new(Allowances::default(), 0.0);
-    let work =
-        [head(kind::HEADERS, 0, 90), head(kind::DATA, flag::END_STREAM, 0), head(kind::PING, flag::ACK, 8)];
-    assert!((0..100_000).all(|n| scores.count(0.0, &work[n % 3]).is_none()));
+    let mut budgets = FrameBudgets::new(FrameLimits::default(), 0.0);
+    let unlimited = [
+        header(kind::HEADERS, 0, 90),
+        header(kind::DATA, flag::END_STREAM, 0),
+        header(kind::PING, flag::ACK, 8),
+    ];
+    assert!((0..100_000).all(|n| budgets.count(0.0, &unlimited[n % 3]).is_none()));
 }
--- a/crates/streams/src/frames.rs
+++ b/crates/streams/src/frames.rs
@@ -1,12 +1,16 @@
-//! The heads of frames out of bytes as they come. It follows where frames begin and end and nothing else: what they
-//! hold is the protocol library's.
+//! Parses frame headers from a byte stream that arrives in reads of any size. Payloads are skipped; parsing them is left
+//! to the HTTP/2 library.
 
 use thiserror::Error;
 
-/// What a client sends before its first frame (RFC 9113, section 3.4).
+/// The bytes that a client sends before its first frame (RFC 9113, section 3.4).
 pub const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// Bytes of a frame's head (section 4.1).
-pub const HEAD: usize = 9;
+/// Length of a frame header, in bytes (section 4.1).
+pub const HEADER_BYTES: usize = 9;
+/// Length of the line with which the preface begins, in bytes. Like an HTTP/1 request line, it begins with a method.
+const PREFACE_REQUEST_LINE_BYTES: usize = 16;
+/// Content type of a TLS handshake record, the first byte of a TLS connection (RFC 8446, section 5.1).
+const TLS_HANDSHAKE_RECORD: u8 = 22;
 
 /// Frame types (section 6).
 pub mod kind {
@@ -32,36 +36,36 @@
     pub const CONTINUATION: u8 = 9;
 }
 
-/// Flags (section 6); what they mean depends on the type.
+/// Frame flags (section 6). Their meaning depends on the frame type.
 pub mod flag {
-    /// Of SETTINGS and PING.
+    /// On SETTINGS and PING: acknowledges one that was received.
     pub const ACK: u8 = 0x1;
-    /// Of DATA and HEADERS.
+    /// On DATA and HEADERS: the sender's last frame on the stream.
     pub const END_STREAM: u8 = 0x1;
-    /// Of HEADERS and CONTINUATION.
+    /// On HEADERS and CONTINUATION: the end of the field section.
     pub const END_HEADERS: u8 = 0x4;
-    /// Of DATA and HEADERS.
+    /// On DATA and HEADERS: the payload is padded.
     pub const PADDED: u8 = 0x8;
 }
 
-/// A frame's head.
+/// A frame header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
-    /// Bytes that follow.
+pub struct FrameHeader {
+    /// Length of the payload, in bytes.
     pub length: u32,
-    /// Its type.
+    /// The frame type, see [`kind`].
     pub kind: u8,
-    /// Its flags.
+    /// The flags, see [`flag`].
     pub flags: u8,
-    /// Its stream; 0 for the connection.
+    /// The stream identifier; 0 for the connection.
     pub stream: u32,
 }
 
-impl Head {
-    /// Reads one.
-    pub fn read(bytes: &[u8; HEAD]) -> Head {
+impl FrameHeader {
+    /// Decodes a frame header.
+    pub fn decode(bytes: &[u8; HEADER_BYTES]) -> FrameHeader {
         let [a, b, c, kind, flags, s0, s1, s2, s3] = *bytes;
-        Head {
+        FrameHeader {
             length: u32::from_be_bytes([0, a, b, c]),
             kind,
             flags,
@@ -70,9 +74,9 @@
         }
     }
 
-    /// Whether its length is one that its type can have (sections 6.1 to 6.10); those of other bounds are the
-    /// receiver's to check.
-    pub fn fits(&self) -> bool {
+    /// Whether the payload length is valid for a frame type of fixed or least length (sections 6.1 to 6.10). The HTTP/2
+    /// library checks the lengths of other types.
+    pub fn has_valid_length(&self) -> bool {
         match self.kind {
             kind::PING => self.length == 8,
             kind::RST_STREAM | kind::WINDOW_UPDATE => self.length == 4,
@@ -84,116 +88,134 @@
         }
     }
 
-    /// Its bytes.
-    pub fn write(&self) -> [u8; HEAD] {
+    /// Encodes the frame header.
+    pub fn encode(&self) -> [u8; HEADER_BYTES] {
         let [_, a, b, c] = self.length.to_be_bytes();
         let [s0, s1, s2, s3] = self.stream.to_be_bytes();
         [a, b, c, self.kind, self.flags, s0, s1, s2, s3]
     }
 }
 
-/// What speaks is not HTTP/2.
+/// The client does not speak HTTP/2.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum NotHttp2 {
-    /// It begins as a request of HTTP/1 does.
-    #[error("HTTP/1 on the port of HTTP/2")]
+    /// The first bytes look like an HTTP/1 request.
+    #[error("HTTP/1 request on the HTTP/2 port")]
     Http1,
-    /// It begins as TLS does.
-    #[error("TLS on the port of cleartext HTTP/2")]
+    /// The first byte is that of a TLS handshake record.
+    #[error("TLS handshake on the cleartext HTTP/2 port")]
     Tls,
-    /// Something else.
-    #[error("no preface of HTTP/2")]
+    /// The first bytes are those of another protocol.
+    #[error("invalid HTTP/2 connection preface")]
     Other,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
-    /// So many bytes of the preface have come.
-    Preface(usize),
-    /// So many bytes of a head have come.
-    Head(usize),
-    /// So many bytes of a frame are to come.
-    Payload(u32),
-    /// What came is not HTTP/2.
-    Lost,
+enum Position {
+    /// In the preface, of which `received` bytes have arrived.
+    Preface { received: usize },
+    /// In a frame header, of which `received` bytes have arrived.
+    Header { received: usize },
+    /// In a payload, of which `remaining` bytes are still to arrive.
+    Payload { remaining: u32 },
+    /// Scanning has ended: the client does not speak HTTP/2, or the caller stopped at a frame.
+    Stopped,
 }
 
-/// Follows one direction of a connection, from its first byte on.
+impl Position {
+    /// The position with `remaining` bytes of a payload to come; the next frame header follows the last of them.
+    fn in_payload(remaining: u32) -> Position {
+        if remaining == 0 { Position::Header { received: 0 } } else { Position::Payload { remaining } }
+    }
+}
+
+/// Finds the frame headers in one direction of a connection, from its first byte on.
 #[derive(Clone, Debug)]
 pub struct Scanner {
-    at: At,
-    head: [u8; HEAD],
-    first: u8,
+    position: Position,
+    /// The bytes of the current frame header that have arrived.
+    header: [u8; HEADER_BYTES],
+    /// The first byte of the connection.
+    first_byte: u8,
 }
 
 impl Default for Scanner {
     fn default() -> Self {
-        Scanner { at: At::Preface(0), head: [0; HEAD], first: 0 }
+        Scanner { position: Position::Preface { received: 0 }, header: [0; HEADER_BYTES], first_byte: 0 }
     }
 }
 
 impl Scanner {
-    /// Takes bytes in; `seen` is called with each head once it is whole, and says whether to go on. How many of the
-    /// bytes come before the frame at which it did not: all of them where it always did. After that, and after an
-    /// error, nothing is followed.
+    /// Scans the next bytes. `on_frame` is called with each frame header once it is complete, and returns whether to
+    /// continue. Returns how many of `input`'s bytes precede the frame at which `on_frame` stopped, or its length if it
+    /// did not stop. After a stop or an error nothing more is scanned.
     ///
     /// # Errors
     ///
-    /// The bytes do not begin with the preface of HTTP/2.
-    pub fn take(&mut self, all: &[u8], mut seen: impl FnMut(Head) -> bool) -> Result<usize, NotHttp2> {
-        let (mut bytes, mut begun) = (all, 0);
+    /// The connection does not begin with the HTTP/2 preface.
+    pub fn scan(
+        &mut self,
+        input: &[u8],
+        mut on_frame: impl FnMut(FrameHeader) -> bool,
+    ) -> Result<usize, NotHttp2> {
+        let (mut bytes, mut frame_start) = (input, 0);
         while let Some(byte) = bytes.first() {
-            match self.at {
-                At::Lost => return Ok(begun),
-                At::Preface(come) => {
-                    if come == 0 {
-                        self.first = *byte;
+            match self.position {
+                Position::Stopped => return Ok(frame_start),
+                Position::Preface { received } => {
+                    if received == 0 {
+                        self.first_byte = *byte;
                     }
-                    if PREFACE.get(come) != Some(byte) {
-                        self.at = At::Lost;
-                        return Err(match (self.first, come) {
-                            // A handshake record begins with 22.
-                            (22, _) => NotHttp2::Tls,
-                            (first, come) if first.is_ascii_uppercase() && come < 16 => NotHttp2::Http1,
+                    if PREFACE.get(received) != Some(byte) {
+                        self.position = Position::Stopped;
+                        return Err(match (self.first_byte, received) {
+                            (TLS_HANDSHAKE_RECORD, _) => NotHttp2::Tls,
+                            (first, received)
+                                if first.is_ascii_uppercase() && received < PREFACE_REQUEST_LINE_BYTES =>
+                            {
+                                NotHttp2::Http1
+                            }
                             _ => NotHttp2::Other,
                         });
                     }
-                    self.at = if come + 1 == PREFACE.len() { At::Head(0) } else { At::Preface(come + 1) };
+                    let received = received + 1;
+                    self.position = if received == PREFACE.len() {
+                        Position::Header { received: 0 }
+                    } else {
+                        Position::Preface { received }
+                    };
                     bytes = &bytes[1..];
                 }
-                At::Head(come) => {
-                    if come == 0 {
-                        begun = all.len() - bytes.len();
+                Position::Header { received } => {
+                    if received == 0 {
+                        frame_start = input.len() - bytes.len();
                     }
-                    let part = bytes.len().min(HEAD - come);
-                    self.head[come..come + part].copy_from_slice(&bytes[..part]);
-                    bytes = &bytes[part..];
-                    self.at = At::Head(come + part);
-                    if come + part == HEAD {
-                        let head = Head::read(&self.head);
-                        self.at = if head.length == 0 { At::Head(0) } else { At::Payload(head.length) };
-                        if !seen(head) {
-                            self.at = At::Lost;
-                            return Ok(begun);
+                    let count = bytes.len().min(HEADER_BYTES - received);
+                    self.header[received..received + count].copy_from_slice(&bytes[..count]);
+                    bytes = &bytes[count..];
+                    self.position = Position::Header { received: received + count };
+                    if received + count == HEADER_BYTES {
+                        let header = FrameHeader::decode(&self.header);
+                        self.position = Position::in_payload(header.length);
+                        if !on_frame(header) {
+                            self.position = Position::Stopped;
+                            return Ok(frame_start);
                         }
                     }
                 }
-                At::Payload(left) => {
-                    let part = bytes.len().min(left as usize);
-                    bytes = &bytes[part..];
-                    self.at = match left - part as u32 {
-                        0 => At::Head(0),
-                        left => At::Payload(left),
-                    };
+                Position::Payload { remaining } => {
+                    let count = bytes.len().min(remaining as usize);
+                    bytes = &bytes[count..];
+                    self.position = Position::in_payload(remaining - count as u32);
                 }
             }
         }
-        Ok(all.len())
+        Ok(input.len())
     }
 
-    /// Whether the whole preface has come.
-    pub fn begun(&self) -> bool {
-        !matches!(self.at, At::Preface(_) | At::Lost)
+    /// Whether the preface is complete and scanning has not stopped.
+    pub fn is_past_preface(&self) -> bool {
+        !matches!(self.position, Position::Preface { .. } | Position::Stopped)
     }
 }
 
--- a/crates/streams/src/frames/tests.rs
+++ b/crates/streams/src/frames/tests.rs
@@ -1,43 +1,43 @@
-//! Tests of this module's private parts.
+//! Tests of the frame scanner.
 
 use super::*;
 use proptest::prelude::*;
 
-fn heads(pieces: &[&[u8]]) -> Result<Vec<Head>, NotHttp2> {
-    let (mut scanner, mut all) = (Scanner::default(), Vec::new());
+fn scan(pieces: &[&[u8]]) -> Result<Vec<FrameHeader>, NotHttp2> {
+    let (mut scanner, mut headers) = (Scanner::default(), Vec::new());
     for piece in pieces {
-        scanner.take(piece, |head| {
-            all.push(head);
+        scanner.scan(piece, |header| {
+            headers.push(header);
             true
         })?;
     }
-    Ok(all)
+    Ok(headers)
 }
 
 #[test]
-fn other_protocols_are_told_apart() {
-    assert_eq!(heads(&[b"GET / HTTP/1.1\r\n"]), Err(NotHttp2::Http1));
-    assert_eq!(heads(&[b"P", b"UT /x"]), Err(NotHttp2::Http1));
-    assert_eq!(heads(&[&[22, 3, 1]]), Err(NotHttp2::Tls));
-    assert_eq!(heads(&[b"\0\0"]), Err(NotHttp2::Other));
-    assert_eq!(heads(&[b"PRI * HTTP/2.0\r\n\r\nXX"]), Err(NotHttp2::Other));
+fn other_protocols_are_recognized() {
+    assert_eq!(scan(&[b"GET / HTTP/1.1\r\n"]), Err(NotHttp2::Http1));
+    assert_eq!(scan(&[b"P", b"UT /x"]), Err(NotHttp2::Http1));
+    assert_eq!(scan(&[&[22, 3, 1]]), Err(NotHttp2::Tls));
+    assert_eq!(scan(&[b"\0\0"]), Err(NotHttp2::Other));
+    assert_eq!(scan(&[b"PRI * HTTP/2.0\r\n\r\nXX"]), Err(NotHttp2::Other));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However the bytes are cut, the same heads are seen.
+    /// The same frame headers are found however the bytes are split into reads.
     #[test]
-    fn frames_are_followed_however_they_are_cut(
+    fn frames_are_found_however_the_bytes_are_split(
         frames in proptest::collection::vec((0u32..300, 0u8..12, any::<u8>(), 0u32..0x7fff_ffff), 0..20),
         cuts in proptest::collection::vec(1usize..40, 1..60),
     ) {
-        let wanted: Vec<Head> =
-            frames.iter().map(|(length, kind, flags, stream)| Head { length: *length, kind: *kind, flags: *flags, stream: *stream }).collect();
+        let wanted: Vec<FrameHeader> =
+            frames.iter().map(|(length, kind, flags, stream)| FrameHeader { length: *length, kind: *kind, flags: *flags, stream: *stream }).collect();
         let mut bytes = PREFACE.to_vec();
-        for head in &wanted {
-            bytes.extend(head.write());
-            bytes.extend(vec![0xff; head.length as usize]);
+        for header in &wanted {
+            bytes.extend(header.encode());
+            bytes.extend(vec![0xff; header.length as usize]);
         }
         let (mut pieces, mut rest, mut turn) = (Vec::new(), &bytes[..], 0);
         while !rest.is_empty() {
@@ -45,13 +45,13 @@
             pieces.push(piece);
             (rest, turn) = (after, turn + 1);
         }
-        prop_assert_eq!(heads(&pieces), Ok(wanted));
+        prop_assert_eq!(scan(&pieces), Ok(wanted));
     }
 
-    /// No bytes at all bring it down.
+    /// No input makes the scanner panic.
     #[test]
-    fn any_bytes_are_followed_or_turned_down(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = heads(&[PREFACE, &bytes]);
-        let _ = heads(&[&bytes]);
+    fn any_bytes_are_scanned_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        let _ = scan(&[PREFACE, &bytes]);
+        let _ = scan(&[&bytes]);
     }
 }
--- /dev/null
+++ b/crates/streams/src/graceful_shutdown/tests.rs
@@ -0,0 +1,29 @@
+//! Tests of the shutdown of connections.
+
+use super::*;
+
+#[test]
+fn a_shutdown_begins_once_and_closes_the_connection_after_the_grace_time() {
+    let mut shutdown = GracefulShutdown::new(30.0, 4.0, 0.0);
+    shutdown.stream_opened();
+    assert_eq!((shutdown.deadline(), shutdown.poll(100.0)), (None, Action::None), "a stream is open");
+    assert_eq!(shutdown.begin(100.0, Cause::Drain), Action::SendGoaway);
+    assert_eq!(shutdown.begin(101.0, Cause::Reclaimed), Action::None, "GOAWAY is sent once");
+    assert_eq!(shutdown.poll(103.0), Action::None);
+    assert_eq!(
+        (shutdown.poll(104.0), shutdown.state()),
+        (Action::Close, State::Closed),
+        "the client ignores the GOAWAY"
+    );
+    assert_eq!((shutdown.poll(200.0), shutdown.cause()), (Action::None, Some(Cause::Drain)));
+}
+
+#[test]
+fn an_idle_connection_shuts_down_and_one_in_use_does_not() {
+    let mut shutdown = GracefulShutdown::new(30.0, 4.0, 0.0);
+    shutdown.stream_opened();
+    shutdown.stream_closed(20.0);
+    assert_eq!(shutdown.poll(49.0), Action::None);
+    assert_eq!((shutdown.poll(50.0), shutdown.cause()), (Action::SendGoaway, Some(Cause::Idle)));
+    assert_eq!(shutdown.poll(54.0), Action::Close);
+}
--- a/crates/streams/src/settings/tests.rs
+++ b/crates/streams/src/settings/tests.rs
@@ -1,12 +1,15 @@
-//! Tests of this module's private parts.
+//! Tests of the validation of the `[http2]` table.
 
 use super::*;
 
 #[test]
-fn mistakes_are_told_with_line_and_key() {
+fn errors_name_the_line_and_the_key() {
     let listen = "listen = \"127.0.0.1:0\"\n";
-    let usual = Http2::parse(listen).expect("usual");
-    assert_eq!((usual.streams_each, usual.stream_window, usual.connection_window), (128, 65_536, 131_072));
+    let defaults = Http2::parse(listen).expect("valid");
+    assert_eq!(
+        (defaults.max_streams_per_connection, defaults.stream_window_bytes, defaults.connection_window_bytes),
+        (128, 65_536, 131_072)
+    );
     let bad = [
         ("streams_each = 0", "streams_each", "1 to 10000"),
         ("streams_each = 500\nstreams_all = 400", "streams_all", "500 to"),
@@ -16,8 +19,8 @@
         ("windows = 3", "", "unknown field"),
     ];
     for (text, key, problem) in bad {
-        let told = Http2::parse(&format!("{listen}{text}")).expect_err(text);
-        assert!(told.key == key && told.problem.contains(problem) && told.line >= 2, "{told}");
+        let error = Http2::parse(&format!("{listen}{text}")).expect_err(text);
+        assert!(error.key == key && error.problem.contains(problem) && error.line >= 2, "{error}");
     }
-    assert!(Http2::parse("").is_err(), "it has to listen somewhere");
+    assert!(Http2::parse("").is_err(), "`listen` is required");
 }
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -5,7 +5,7 @@
 use crate::frontend::intake::{ConnectionState, MAX_HEAD_BYTES, MAX_HEAD_FIELDS, RequestReader};
 use crate::frontend::request::{FrontendContext, ResponseBody};
 use crate::resources::descriptors::ConnectionSlot;
-use flaxgap_streams::frames::{Head, kind};
+use flaxgap_streams::frames::{FrameHeader, kind};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::server::conn::http1;
@@ -45,7 +45,7 @@
 fn http1_required_frames() -> Vec<u8> {
     let debug_data = b"this port speaks HTTP/1.1";
     let last_stream = [0; 4];
-    let frame = |length, kind| Head { length, kind, flags: 0, stream: 0 }.write();
+    let frame = |length, kind| FrameHeader { length, kind, flags: 0, stream: 0 }.encode();
     let settings = frame(0, kind::SETTINGS);
     let goaway = frame(8 + debug_data.len() as u32, kind::GOAWAY);
     [&settings[..], &goaway, &last_stream, &HTTP_1_1_REQUIRED.to_be_bytes(), debug_data].concat()
--- a/src/frontend/http2.rs
+++ b/src/frontend/http2.rs
@@ -36,8 +36,9 @@
 impl<T: Transport + 'static> Http2Frontend<T> {
     /// A frontend without connections.
     pub fn new(context: Rc<FrontendContext<T>>, settings: Http2) -> Rc<Http2Frontend<T>> {
-        let admission = RefCell::new(Admission::new(settings.streams_each, settings.streams_all));
-        let connection_permits = Arc::new(Semaphore::new(settings.connections));
+        let admission =
+            RefCell::new(Admission::new(settings.max_streams_per_connection, settings.max_streams));
+        let connection_permits = Arc::new(Semaphore::new(settings.max_connections));
         Rc::new(Http2Frontend { context, settings, admission, connection_permits })
     }
 
--- a/src/frontend/http2/connection.rs
+++ b/src/frontend/http2/connection.rs
@@ -6,10 +6,10 @@
 use crate::frontend::closing::SharedStream;
 use crate::resources::descriptors::ConnectionSlot;
 use bytes::Bytes;
-use flaxgap_streams::abuse::Scores;
+use flaxgap_streams::abuse::FrameBudgets;
 use flaxgap_streams::admission::Connection;
 use flaxgap_streams::frames::{NotHttp2, PREFACE, Scanner};
-use flaxgap_streams::goodbye::{Act, Cause, Goodbye};
+use flaxgap_streams::graceful_shutdown::{Action, Cause, GracefulShutdown};
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream};
 use hyper::Request;
@@ -63,7 +63,7 @@
     let connection = frontend.admission.borrow_mut().connect();
     let admitted = AdmittedConnection { frontend: frontend.clone(), connection };
     let opened_at = Instant::now();
-    let handshake_timeout = seconds(frontend.settings.handshake);
+    let handshake_timeout = seconds(frontend.settings.handshake_timeout_s);
     let preface = tokio::select! {
         preface = timeout(handshake_timeout, read_preface(&stream)) => preface,
         () = descriptors_short.notified() => return,
@@ -74,7 +74,7 @@
         Ok(Err(error)) => return log::debug!("http2: {error}"),
         Err(_) => return log::debug!("http2: no preface in time"),
     }
-    let guard = FrameGuard::new(Scores::new(frontend.settings.allowances, 0.0), opened_at);
+    let guard = FrameGuard::new(FrameBudgets::new(frontend.settings.frame_limits, 0.0), opened_at);
     let inspected = InspectedStream { stream: SharedStream(stream), guard: guard.clone() };
     let library = match timeout(
         handshake_timeout.saturating_sub(opened_at.elapsed()),
@@ -87,8 +87,11 @@
         Err(_) => return log::debug!("http2: no settings in time"),
     };
     let (ended_sender, ended) = mpsc::unbounded_channel();
-    let goodbye =
-        Goodbye::new(frontend.settings.idle, frontend.settings.grace, opened_at.elapsed().as_secs_f64());
+    let graceful_shutdown = GracefulShutdown::new(
+        frontend.settings.idle_timeout_s,
+        frontend.settings.shutdown_grace_s,
+        opened_at.elapsed().as_secs_f64(),
+    );
     let open = OpenConnection {
         library,
         frontend,
@@ -96,7 +99,7 @@
         slot,
         descriptors_short,
         guard,
-        goodbye,
+        graceful_shutdown,
         opened_at,
         ended_sender,
         ended,
@@ -122,10 +125,10 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let mut scanner = Scanner::default();
-        if let Err(error) = scanner.take(&bytes[..peeked], |_| true) {
+        if let Err(error) = scanner.scan(&bytes[..peeked], |_| true) {
             return Ok(Preface::Other(error));
         }
-        if scanner.begun() {
+        if scanner.is_past_preface() {
             return Ok(Preface::Http2);
         }
         if peeked == peeked_before {
@@ -152,10 +155,10 @@
     let settings = &frontend.settings;
     let mut builder = h2::server::Builder::new();
     builder
-        .max_concurrent_streams(settings.streams_each as u32)
-        .initial_window_size(settings.stream_window)
-        .initial_connection_window_size(settings.connection_window)
-        .max_header_list_size(settings.header_list)
+        .max_concurrent_streams(settings.max_streams_per_connection as u32)
+        .initial_window_size(settings.stream_window_bytes)
+        .initial_connection_window_size(settings.connection_window_bytes)
+        .max_header_list_size(settings.max_header_list_bytes)
         .max_send_buffer_size(SEND_BUFFER_BYTES);
     builder
 }
@@ -188,7 +191,7 @@
     descriptors_short: &'a Rc<Notify>,
     guard: Rc<FrameGuard>,
     /// Decides when the connection shuts down.
-    goodbye: Goodbye,
+    graceful_shutdown: GracefulShutdown,
     opened_at: Instant,
     /// Gets a message at each stream's end.
     ended_sender: mpsc::UnboundedSender<()>,
@@ -202,28 +205,32 @@
         self.slot.mark_in_use();
         self.mark_idle();
         loop {
-            let act = match self.next_event().await {
+            let action = match self.next_event().await {
                 ConnectionEvent::Violation(violation) => return self.end_for_violation(violation).await,
                 ConnectionEvent::StreamEnded => self.stream_ended(),
                 ConnectionEvent::Shutdown => {
                     self.shutdown_begun = true;
-                    self.goodbye.leave(self.now(), Cause::Drain)
+                    self.graceful_shutdown.begin(self.now(), Cause::Drain)
                 }
-                ConnectionEvent::DescriptorsShort => self.goodbye.leave(self.now(), Cause::Reclaimed),
-                ConnectionEvent::TimerDue => self.goodbye.look(self.now()),
+                ConnectionEvent::DescriptorsShort => {
+                    self.graceful_shutdown.begin(self.now(), Cause::Reclaimed)
+                }
+                ConnectionEvent::TimerDue => self.graceful_shutdown.poll(self.now()),
                 ConnectionEvent::Accepted(accepted) => match *accepted {
                     Some(Ok((request, respond))) => {
                         self.stream_accepted(request, respond);
-                        Act::Wait
+                        Action::None
                     }
                     Some(Err(error)) => return self.library_failed(&error),
                     None => return,
                 },
             };
-            match act {
-                Act::Wait => {}
-                Act::Announce => self.library.graceful_shutdown(),
-                Act::Cut => return log::debug!("http2: connection cut, cause={:?}", self.goodbye.cause()),
+            match action {
+                Action::None => {}
+                Action::SendGoaway => self.library.graceful_shutdown(),
+                Action::Close => {
+                    return log::debug!("http2: connection cut, cause={:?}", self.graceful_shutdown.cause());
+                }
             }
         }
     }
@@ -235,7 +242,7 @@
 
     /// Waits for the next event, and lets the library read and write meanwhile.
     async fn next_event(&mut self) -> ConnectionEvent {
-        let due = match self.goodbye.due() {
+        let due = match self.graceful_shutdown.deadline() {
             Some(due) => self.opened_at + seconds(due),
             None => Instant::now() + NEVER,
         };
@@ -268,27 +275,27 @@
         log::debug!("http2: connection closed, result={result:?}");
     }
 
-    fn stream_ended(&mut self) -> Act {
-        self.goodbye.closed(self.now());
-        let is_idle = self.goodbye.streams() == 0;
+    fn stream_ended(&mut self) -> Action {
+        self.graceful_shutdown.stream_closed(self.now());
+        let is_idle = self.graceful_shutdown.streams() == 0;
         if is_idle {
             self.mark_idle();
         }
         let context = &self.frontend.context;
         if context.phases.should_reconnect() || is_idle && context.budget.has_too_many_idle_clients() {
-            self.goodbye.leave(self.now(), Cause::Drain)
+            self.graceful_shutdown.begin(self.now(), Cause::Drain)
         } else {
-            Act::Wait
+            Action::None
         }
     }
 
     fn stream_accepted(&mut self, request: Request<RecvStream>, respond: SendResponse<Bytes>) {
-        let was_idle = self.goodbye.streams() == 0;
+        let was_idle = self.graceful_shutdown.streams() == 0;
         if was_idle {
             self.slot.mark_in_use();
         }
         if stream::admit(self.frontend, self.admission, request, respond, &self.ended_sender) {
-            self.goodbye.opened();
+            self.graceful_shutdown.stream_opened();
         } else if was_idle {
             self.mark_idle();
         }
--- a/src/frontend/http2/frame_guard.rs
+++ b/src/frontend/http2/frame_guard.rs
@@ -1,7 +1,7 @@
 //! Inspects a connection's frames before the library gets them, and ends a connection that breaks its bounds.
 
 use crate::frontend::closing::SharedStream;
-use flaxgap_streams::abuse::{Kind, Scores};
+use flaxgap_streams::abuse::{FloodKind, FrameBudgets};
 use flaxgap_streams::frames::{NotHttp2, Scanner};
 use h2::Reason;
 use std::cell::{Cell, RefCell};
@@ -20,7 +20,7 @@
     #[error(transparent)]
     NotHttp2(#[from] NotHttp2),
     #[error("too many {0}")]
-    Flood(Kind),
+    Flood(FloodKind),
     #[error("a frame of type {kind} with {length} bytes")]
     FrameSize { kind: u8, length: u32 },
 }
@@ -39,7 +39,7 @@
 /// Inspects the frames of a connection, for its reader and its task.
 pub(super) struct FrameGuard {
     scanner: RefCell<Scanner>,
-    scores: RefCell<Scores>,
+    budgets: RefCell<FrameBudgets>,
     opened_at: Instant,
     violation: Cell<Option<Violation>>,
     violated: Notify,
@@ -47,10 +47,10 @@
 
 impl FrameGuard {
     /// For a connection that opened at `opened_at`, with the scores it begins with.
-    pub(super) fn new(scores: Scores, opened_at: Instant) -> Rc<FrameGuard> {
+    pub(super) fn new(budgets: FrameBudgets, opened_at: Instant) -> Rc<FrameGuard> {
         Rc::new(FrameGuard {
             scanner: RefCell::default(),
-            scores: RefCell::new(scores),
+            budgets: RefCell::new(budgets),
             opened_at,
             violation: Cell::new(None),
             violated: Notify::new(),
@@ -64,12 +64,12 @@
             return 0;
         }
         let now = self.opened_at.elapsed().as_secs_f64();
-        let mut scores = self.scores.borrow_mut();
+        let mut budgets = self.budgets.borrow_mut();
         let mut violation = None;
-        let scanned = self.scanner.borrow_mut().take(bytes, |head| {
-            let flood = scores.count(now, &head).map(Violation::Flood);
-            let frame_size = Violation::FrameSize { kind: head.kind, length: head.length };
-            violation = if head.fits() { flood } else { Some(frame_size) };
+        let scanned = self.scanner.borrow_mut().scan(bytes, |header| {
+            let flood = budgets.count(now, &header).map(Violation::Flood);
+            let frame_size = Violation::FrameSize { kind: header.kind, length: header.length };
+            violation = if header.has_valid_length() { flood } else { Some(frame_size) };
             violation.is_none()
         });
         let allowed = match scanned {
--- a/src/frontend/http2/stream.rs
+++ b/src/frontend/http2/stream.rs
@@ -65,7 +65,7 @@
     let opened = frontend.admission.borrow_mut().open(connection);
     if let Err(reason) = opened {
         counters.http2_refused.add();
-        log::debug!("http2: stream refused: {reason:?}");
+        log::debug!("http2: stream refused: {reason}");
         respond.send_reset(Reason::REFUSED_STREAM);
         return false;
     }
@@ -116,7 +116,7 @@
     let is_empty = body.is_end_stream();
     let mut send = respond.send_response(Response::from_parts(head, ()), is_empty)?;
     if !is_empty {
-        let stall_timeout = seconds(frontend.settings.stall);
+        let stall_timeout = seconds(frontend.settings.stall_timeout_s);
         send_body(&mut body, &mut send, stall_timeout).await?;
     }
     Ok(())
--- a/tests/peers/frames.rs
+++ b/tests/peers/frames.rs
@@ -1,6 +1,6 @@
 //! A client of HTTP/2 that sends raw frames, right or wrong, and reads what comes back.
 
-use flaxgap_streams::frames::{HEAD, Head, PREFACE, flag, kind};
+use flaxgap_streams::frames::{FrameHeader, HEADER_BYTES, PREFACE, flag, kind};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -28,7 +28,7 @@
 /// A frame as it came.
 #[derive(Clone, Debug)]
 pub struct Frame {
-    pub head: Head,
+    pub head: FrameHeader,
     pub payload: Vec<u8>,
 }
 
@@ -40,8 +40,8 @@
 
 /// A frame's bytes.
 pub fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
-    let head = Head { length: payload.len() as u32, kind, flags, stream };
-    [&head.write()[..], payload].concat()
+    let head = FrameHeader { length: payload.len() as u32, kind, flags, stream };
+    [&head.encode()[..], payload].concat()
 }
 
 /// Fields as HPACK literals without indexing (RFC 7541, section 6.2.2), not Huffman coded.
@@ -171,10 +171,10 @@
     /// The next frame; none once the connection has ended, or nothing came in time.
     pub fn next(&mut self, by: Instant) -> Option<Frame> {
         loop {
-            if let Some(head) = self.buffer.first_chunk::<HEAD>().map(Head::read) {
-                let whole = HEAD + head.length as usize;
+            if let Some(head) = self.buffer.first_chunk::<HEADER_BYTES>().map(FrameHeader::decode) {
+                let whole = HEADER_BYTES + head.length as usize;
                 if self.buffer.len() >= whole {
-                    let payload = self.buffer[HEAD..whole].to_vec();
+                    let payload = self.buffer[HEADER_BYTES..whole].to_vec();
                     self.buffer.drain(..whole);
                     return Some(Frame { head, payload });
                 }
