--- a/crates/streams/src/abuse/tests.rs
+++ b/crates/streams/src/abuse/tests.rs
@@ -6,8 +6,8 @@
     FrameHeader { length, kind, flags, stream: 1 }
 }
 
-/// A flood of each kind of frame is detected once its burst is used up; frames at the sustained rate are not a flood, and
-/// requests and answers are not limited.
+/// A flood of each kind of frame is detected once its burst is used up; frames at the sustained rate are not a flood,
+/// and requests and answers are not limited.
 #[test]
 fn floods_are_detected_by_kind_and_sustained_rates_are_allowed() {
     let floods = [
--- a/crates/streams/src/admission.rs
+++ b/crates/streams/src/admission.rs
@@ -63,8 +63,8 @@
     ///
     /// # Errors
     ///
-    /// The connection has reached its own limit or its equal share, or all connections together have reached the total limit.
-    /// For an unknown connection the error is [`RefusalReason::TotalLimit`].
+    /// The connection has reached its own limit or its equal share, or all connections together have reached the total
+    /// limit. For an unknown connection the error is [`RefusalReason::TotalLimit`].
     pub fn open(&mut self, connection: Connection) -> Result<(), RefusalReason> {
         let connections = self.open.len().max(1);
         let equal_share = (self.max_total / connections).max(1);
--- a/crates/streams/src/frames.rs
+++ b/crates/streams/src/frames.rs
@@ -1,5 +1,5 @@
-//! Parses frame headers from a byte stream that arrives in reads of any size. Payloads are skipped; parsing them is left
-//! to the HTTP/2 library.
+//! Parses frame headers from a byte stream that arrives in reads of any size. Payloads are skipped; parsing them is
+//! left to the HTTP/2 library.
 
 use thiserror::Error;
 
--- a/crates/streams/src/graceful_shutdown.rs
+++ b/crates/streams/src/graceful_shutdown.rs
@@ -1,6 +1,7 @@
-//! Graceful shutdown of a connection (RFC 9113, section 6.8): a first GOAWAY has the largest stream identifier, so that no
-//! request in transit is lost; after a round trip a second one has the identifier of the last stream that was accepted;
-//! then the open streams are served to their end. A connection that is still open after the grace time is closed.
+//! Graceful shutdown of a connection (RFC 9113, section 6.8): a first GOAWAY has the largest stream identifier, so that
+//! no request in transit is lost; after a round trip a second one has the identifier of the last stream that was
+//! accepted; then the open streams are served to their end. A connection that is still open after the grace time is
+//! closed.
 
 /// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/streams/src/settings.rs
+++ b/crates/streams/src/settings.rs
@@ -72,8 +72,8 @@
 }
 
 impl Http2 {
-    /// Validates the `[http2]` table of a file and fills in the defaults. `text` is the text of the whole file, from which
-    /// the line numbers in errors are counted.
+    /// Validates the `[http2]` table of a file and fills in the defaults. `text` is the text of the whole file, from
+    /// which the line numbers in errors are counted.
     ///
     /// # Errors
     ///
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,8 +1,9 @@
-//! The admin server, by which operators ask and steer a running head: one call a connection, over the state that the
-//! other frontends share.
+//! The admin server, through which operators query and control a running head. Each connection serves one call, on the
+//! state that the head shares with its other frontends.
 //!
-//! Its connections have slots of their own beside the budget of descriptors, so that neither load nor clients delay
-//! it. When all slots are taken, the connection that has waited longest for a complete call is closed.
+//! Admin connections have a limit of their own, apart from the descriptor budget of clients, so that client load does
+//! not delay operators. When all slots are taken, the connection that has waited longest without sending a complete
+//! call is closed.
 
 mod call;
 
@@ -33,14 +34,14 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::timeout;
 
-/// Longest that a connection is served: calls take no time, so that a longer one is stuck.
+/// Time-out of a connection. A call is answered without waiting, so a connection that is open longer is stuck.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(6);
-/// Pause after the system would not accept a connection, for descriptors to be freed.
+/// Pause after `accept` failed, during which descriptors may be freed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Longest request line and headers of a call, in bytes; the least that hyper takes.
+/// Most bytes of a call's request line and headers; the smallest limit that hyper accepts.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// Connections that have not sent a complete call yet, the oldest first. Each is closed by its notification.
+/// Connections that have not sent a complete call yet, the oldest first. Notifying a connection closes it.
 #[derive(Default)]
 struct WaitingConnections {
     close_signals: RefCell<VecDeque<Rc<Notify>>>,
@@ -108,12 +109,12 @@
         }
     }
 
-    /// Serves one connection in a task of its own, once there is a slot.
+    /// Serves one connection in a task of its own, once a slot is free.
     async fn accept(self: Rc<Self>, stream: TcpStream) {
         if self.slots.available_permits() == 0 {
             self.waiting.close_oldest();
         }
-        // Calls take no time; whoever holds the last slot is answered, or closed.
+        // A slot is freed soon: each connection is answered at once, closed in favour of a newer one, or times out.
         let Ok(slot) = self.slots.clone().acquire_owned().await else { return };
         let close = self.waiting.add();
         tokio::task::spawn_local(async move {
@@ -123,7 +124,7 @@
         });
     }
 
-    /// Serves one call, until the connection is to be closed.
+    /// Serves one call. Returns when it is answered, the connection times out or `close` is notified.
     async fn serve(&self, stream: TcpStream, close: &Rc<Notify>) {
         let service = service_fn(|request: Request<Incoming>| {
             self.waiting.remove(close);
@@ -139,7 +140,7 @@
                 Ok(Err(error)) => log::debug!("ops: connection failed, error={error}"),
                 Err(_) => log::debug!("ops: connection timed out without a complete call"),
             },
-            () = close.notified() => log::debug!("ops: connection closed, its slot was wanted"),
+            () = close.notified() => log::debug!("ops: connection without a complete call closed to free its slot"),
         }
     }
 
@@ -172,7 +173,7 @@
         text(status, format!("{phase:?}\n"))
     }
 
-    /// Excludes a node or readmits it.
+    /// Excludes or readmits the node that the query names, and saves the exclusion.
     fn change_exclusion(&self, action: NodeAction, query: &str) -> Response<Full<Bytes>> {
         let node_name = match call::node_name(query) {
             Ok(name) => name,
@@ -183,7 +184,7 @@
                 self.handover.notify_exclusions_changed();
                 text(StatusCode::OK, format!("{node_name} {}\n", action.outcome()))
             }
-            Ok(false) => text(StatusCode::NOT_FOUND, "never listed\n"),
+            Ok(false) => text(StatusCode::NOT_FOUND, "no node of this name has been listed\n"),
             Err(error) => {
                 log::error!("ops: exclusion not saved, node={node_name}, error={error}");
                 text(StatusCode::INTERNAL_SERVER_ERROR, format!("not saved: {error}\n"))
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Sets the level of a scope or releases its override.
+    /// Overrides the shedding level of a scope, or releases its override.
     fn change_override(&self, call: Result<OverrideCall, CallError>) -> Response<Full<Bytes>> {
         let result: Option<Result<LevelTransition, OverrideError>> = match &call {
             Ok(OverrideCall::Set { scope, request }) => self.shedding.set_override(scope, request),
@@ -210,7 +211,8 @@
 }
 
 fn method_not_allowed(method: &Method, allowed: &Method) -> Response<Full<Bytes>> {
-    let mut response = text(StatusCode::METHOD_NOT_ALLOWED, format!("{method} has no meaning here\n"));
+    let mut response =
+        text(StatusCode::METHOD_NOT_ALLOWED, format!("method {method} is not allowed for this call\n"));
     if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
         response.headers_mut().insert(ALLOW, allowed);
     }
--- a/src/frontend/admin/call.rs
+++ b/src/frontend/admin/call.rs
@@ -9,20 +9,20 @@
 const SET_PARAMETERS: [&str; 5] = ["scope", "level", "seconds", "who", "why"];
 /// Query parameters of a call that releases an override.
 const RELEASE_PARAMETERS: [&str; 3] = ["scope", "who", "why"];
-/// Query parameter that names a node.
+/// Query parameter with the name of a node.
 const NODE_PARAMETER: &str = "host";
 
-/// What an operator does with a node.
+/// A change to whether a node receives requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NodeAction {
-    /// The node gets no requests.
+    /// The node receives no requests.
     Exclude,
-    /// The node gets requests again.
+    /// The node receives requests again.
     Readmit,
 }
 
 impl NodeAction {
-    /// The word of the response for a node after the action.
+    /// Returns the state of the node after the action, as the response names it.
     pub(super) fn outcome(self) -> &'static str {
         match self {
             NodeAction::Exclude => "out",
@@ -31,25 +31,25 @@
     }
 }
 
-/// A call.
+/// A call of the admin server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AdminCall {
-    /// Whether the head serves.
+    /// Queries whether the head is ready to serve.
     Readiness,
-    /// All counters.
+    /// Queries all counters.
     Stats,
-    /// The levels of load shedding.
+    /// Queries the shedding levels.
     Levels,
     /// Excludes or readmits a node.
     Node(NodeAction),
-    /// Sets a level.
+    /// Overrides a shedding level.
     SetOverride,
-    /// Releases an override.
+    /// Releases the override of a shedding level.
     ReleaseOverride,
 }
 
 impl AdminCall {
-    /// The call of a path.
+    /// Returns the call that is served under `path`.
     pub(super) fn from_path(path: &str) -> Option<AdminCall> {
         match path {
             "/ops/readiness" => Some(AdminCall::Readiness),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The method that the call takes.
+    /// Returns the HTTP method of the call.
     pub(super) fn method(self) -> Method {
         match self {
             AdminCall::Readiness | AdminCall::Stats | AdminCall::Levels => Method::GET,
@@ -72,26 +72,26 @@
     }
 }
 
-/// A query that can't be read: a mistake of the caller.
+/// A query with missing, unknown or malformed parameters.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub(super) enum CallError {
-    /// Not exactly one node is named.
-    #[error("one host has to be named")]
+    /// The query names no node, or more than one.
+    #[error("exactly one parameter 'host' is required")]
     NotOneNode,
-    /// A parameter that the call does not take, or that is there twice.
+    /// The call has no parameter of this name, or the query repeats it.
     #[error("{name}: unknown, or there twice; wanted are {wanted}")]
     UnexpectedParameter {
-        /// The parameter.
+        /// Name of the parameter.
         name: String,
-        /// The parameters that the call takes.
+        /// Names of the call's parameters.
         wanted: String,
     },
-    /// The duration is no number.
+    /// The duration is not a number.
     #[error("seconds: a number is wanted")]
     InvalidDuration,
 }
 
-/// The name of the node that a query names.
+/// Parses the query of a call on a node, and returns the node's name.
 pub(super) fn node_name(query: &str) -> Result<String, CallError> {
     let parameters = form_urlencoded::parse(query.as_bytes());
     let mut nodes = parameters.filter(|(name, _)| name == NODE_PARAMETER);
@@ -101,27 +101,27 @@
     }
 }
 
-/// A call that sets or releases an override; `scope` is `head` or a zone's name.
+/// A call that sets or releases an override. `scope` is `head` or the name of a zone.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum OverrideCall {
-    /// Sets a level.
+    /// Overrides the level of a scope.
     Set {
-        /// Whose level.
+        /// Scope of the override.
         scope: String,
-        /// Which level, for how long, and why.
+        /// Level, duration and note of the override.
         request: OverrideRequest,
     },
-    /// Ends an override.
+    /// Releases the override of a scope.
     Release {
-        /// Whose level.
+        /// Scope of the override.
         scope: String,
-        /// Who asks, and why.
+        /// Operator and reason.
         note: OperatorNote,
     },
 }
 
 impl OverrideCall {
-    /// Parses the query of a call that sets a level.
+    /// Parses the query of a call that sets an override.
     pub(super) fn parse_set(query: &str) -> Result<OverrideCall, CallError> {
         let mut parameters = parse_parameters(query, &SET_PARAMETERS)?;
         let Ok(duration_s) = take(&mut parameters, "seconds").parse() else {
@@ -141,7 +141,7 @@
     }
 }
 
-/// The parameters of a query by name, each at most once.
+/// Parses a query into parameters by name. Returns an error for a repeated one or one that is not in `wanted`.
 fn parse_parameters(query: &str, wanted: &[&str]) -> Result<BTreeMap<String, String>, CallError> {
     let mut parameters = BTreeMap::new();
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
@@ -153,7 +153,7 @@
     Ok(parameters)
 }
 
-/// A parameter's value, empty where it is missing: whoever checks the value rejects that.
+/// Removes a parameter and returns its value, or an empty string if it is missing, which later validation rejects.
 fn take(parameters: &mut BTreeMap<String, String>, name: &str) -> String {
     parameters.remove(name).unwrap_or_default()
 }
--- a/src/frontend/closing.rs
+++ b/src/frontend/closing.rs
@@ -1,7 +1,7 @@
-//! How a client's connection is closed, for whatever reason. Its sending is ended first, and what still arrives is read
-//! and discarded for a bounded time: a close over bytes that were not read resets the connection, which can lose the
-//! answer before it. Nothing that arrives after the end is served; its client has seen the end and retries on another
-//! connection.
+//! Closes the connections of clients. The sending side is shut down first, and what still arrives is read and discarded
+//! for a bounded time: closing a socket with unread bytes resets the connection, by which the client can lose the last
+//! answer. Requests that arrive after the shutdown are not served; the client sees the end of the connection and
+//! retries on another one.
 
 use crate::metrics::counters::Counters;
 use std::future::Future;
@@ -15,27 +15,30 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// How long a client has to end its side after this one. One that got the answer does so within a round trip.
+/// How long a client has to close its side after the server's. One that has received the answer does so within a round
+/// trip.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same if descriptors run short: what was answered before the connection became idle has long been read.
+/// [`LINGER_TIMEOUT`] if descriptors run short: such a connection was idle, so the client has read its last answer.
 const LINGER_TIMEOUT_DESCRIPTORS_SHORT: Duration = Duration::from_millis(20);
-/// Most bytes that are read and discarded: more than a request, less than what a flood costs.
+/// Most bytes that are read and discarded: more than a request, few enough to bound what a flood costs.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Bytes that are read at a time.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 4096;
 
-/// Why a connection is closed, as far as it matters for how.
+/// Why a connection is closed, which decides how it is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Nothing arrived on it, so no answer can be lost.
+    /// The client sent nothing, so no answer can be lost.
     Unused,
-    /// It has had its last answer, or has timed out.
+    /// The last answer was sent, or the connection timed out.
     Done,
-    /// An answer that had begun broke off: the connection's end must not look like the answer's.
+    /// An answer failed after its beginning was sent: the client must not take the end of the connection for the end of
+    /// the answer.
     AnswerBroken,
 }
 
-/// Closes a connection. `descriptors_short` is ready once descriptors run short.
+/// Closes a connection. `descriptors_short` completes once descriptors run short, which shortens the wait for the
+/// client.
 pub async fn close(
     stream: &TcpStream,
     reason: CloseReason,
@@ -45,7 +48,7 @@
     let socket = socket2::SockRef::from(stream);
     if reason == CloseReason::AnswerBroken {
         counters.broken_off.add();
-        // The close that follows is a reset (RFC 9293, section 3.10.4; SO_LINGER of zero).
+        // With SO_LINGER of zero, closing the socket sends a reset (RFC 9293, section 3.10.4).
         if let Err(error) = socket.set_linger(Some(Duration::ZERO)) {
             log::debug!("http: SO_LINGER not set: {error}");
         }
@@ -58,11 +61,12 @@
     let discarded_bytes = discard_until_end(stream, descriptors_short).await;
     if discarded_bytes > 0 {
         counters.lingered.add();
-        log::debug!("http: bytes after a connection's end discarded, bytes={discarded_bytes}");
+        log::debug!("http: bytes discarded at the close of a connection, bytes={discarded_bytes}");
     }
 }
 
-/// Reads and discards until the client ends its side, for a bounded time and number of bytes. Returns that number.
+/// Reads and discards bytes until the client closes its side, the time is over or [`MAX_DISCARDED_BYTES`] is reached.
+/// Returns the number of bytes.
 async fn discard_until_end(stream: &TcpStream, descriptors_short: impl Future<Output = ()>) -> usize {
     let mut descriptors_short = pin!(descriptors_short);
     let mut are_short = false;
@@ -88,7 +92,7 @@
     discarded_bytes
 }
 
-/// A connection's socket for a protocol's library, shared with whoever closes the connection after it.
+/// A socket that a protocol library reads and writes, shared with the code that closes the connection afterwards.
 pub struct SharedStream(pub Rc<TcpStream>);
 
 impl AsyncRead for SharedStream {
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 frontend: a tower service over hyper, and the task that each connection has.
+//! The HTTP/1.1 frontend: a tower service on hyper, with a task for each connection.
 
 use crate::core::{Client, Transport};
 use crate::frontend::closing::{self, CloseReason};
@@ -22,26 +22,26 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// Pause after the system would not give a connection.
+/// Pause after `accept` failed, during which descriptors may be freed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a new connection may wait with its first request once the program shuts down.
+/// How long after its acceptance a connection is kept open for its first request while the program shuts down.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
-/// How often it is checked that the client is still connected while its request is served and some of its body waits,
-/// unread, before the connection's end.
+/// Interval at which a connection is checked for a disconnected client while a request is served whose body is not read
+/// to its end: the unread bytes hide the end of the connection from the reader.
 const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How soon an idle connection that timed out is checked again if bytes have arrived that the runtime has not been
-/// notified of.
+/// Delay before an idle connection that has timed out is checked again, if bytes have arrived of which the runtime has
+/// not been notified yet.
 const IDLE_RECHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Error code of a GOAWAY that asks for HTTP/1.1 (RFC 9113, section 7).
 const HTTP_1_1_REQUIRED: u32 = 13;
 
 /// The HTTP/1.1 frontend.
 pub struct HttpFrontend<T> {
-    /// What it shares with other frontends.
+    /// State that the frontends share.
     pub context: Rc<FrontendContext<T>>,
 }
 
-/// What a client of HTTP/2 is answered here: a first SETTINGS, then a GOAWAY with `HTTP_1_1_REQUIRED`.
+/// The response to a client that speaks HTTP/2: SETTINGS, then a GOAWAY with `HTTP_1_1_REQUIRED`.
 fn http1_required_frames() -> Vec<u8> {
     let debug_data = b"this port speaks HTTP/1.1";
     let last_stream = [0; 4];
@@ -51,11 +51,11 @@
     [&settings[..], &goaway, &last_stream, &HTTP_1_1_REQUIRED.to_be_bytes(), debug_data].concat()
 }
 
-/// One connection's service.
+/// The service that hyper calls with the requests of one connection.
 struct ConnectionService<T> {
     frontend: Rc<HttpFrontend<T>>,
     slot: Rc<ConnectionSlot>,
-    /// Notified when descriptors run short and the connection is to close.
+    /// Notified when this connection has to close because descriptors run short.
     descriptors_short: Rc<Notify>,
     state: Rc<ConnectionState>,
 }
@@ -72,14 +72,14 @@
 }
 
 impl<T> ConnectionService<T> {
-    /// Marks the connection idle between two requests: it may be closed if descriptors run short.
+    /// Marks the connection idle between two requests, so that it may be closed when descriptors run short.
     fn mark_idle(&self) {
         let descriptors_short = self.descriptors_short.clone();
         self.slot.mark_idle(move || descriptors_short.notify_one());
     }
 
-    /// Whether an answer is to say that it is the connection's last. Not if another request has arrived already: it would
-    /// be lost.
+    /// Whether an answer gets `Connection: close`. It does not if another request has arrived already, which would be
+    /// lost.
     fn announces_close(&self) -> bool {
         let context = &self.frontend.context;
         let close_wanted = self.state.is_close_requested()
@@ -123,7 +123,7 @@
 /// How the service of a connection ended.
 struct ServiceEnd {
     reason: CloseReason,
-    /// Whether the connection was to close since descriptors ran short.
+    /// Whether the connection had to close because descriptors ran short.
     descriptors_short: bool,
 }
 
@@ -135,7 +135,8 @@
             match self.context.phases.accept(listener).await {
                 Ok(stream) => self.admit(stream, slot),
                 Err(error) => {
-                    // Never the end of the program: a descriptor is freed, or the client has disconnected.
+                    // Errors of `accept` pass: descriptors have run out and are freed again, or the client has
+                    // disconnected.
                     log::warn!("http: accept: {error}");
                     self.context.budget.close_idle_connection();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Serves one connection in a task of its own, from its acceptance to its close.
+    /// Spawns a task that serves an accepted connection and closes it.
     pub fn admit(self: &Rc<Self>, stream: TcpStream, slot: ConnectionSlot) {
         self.context.counters.client_connections.add();
         if let Err(error) = stream.set_nodelay(true) {
@@ -166,7 +167,7 @@
 }
 
 impl<T: Transport + 'static> ConnectionService<T> {
-    /// Serves the connection and closes it. It takes its descriptor until it is closed.
+    /// Serves the connection and closes it. Its slot in the descriptor budget is held until then.
     async fn run(self, stream: &TcpStream) {
         let end = self.serve(stream).await;
         let descriptors_short = async {
@@ -177,9 +178,9 @@
         closing::close(stream, end.reason, descriptors_short, &self.frontend.context.counters).await;
     }
 
-    /// Reads requests and answers them until the connection is to close. The one place that decides that: a connection
-    /// closes while it is idle and nothing has arrived on it, not even unread; with an answer that says so; or when what
-    /// has begun on it does not go on in time.
+    /// Reads requests and answers them until the connection has to close, which is decided here alone. A connection
+    /// closes while it is idle and no byte has arrived, read or unread; after an answer with `Connection: close`; or
+    /// when a head, a body or the reading of an answer times out.
     async fn serve(&self, stream: &TcpStream) -> ServiceEnd {
         let state = &self.state;
         let io = TokioIo::new(RequestReader::new(state.clone()));
@@ -224,7 +225,7 @@
                 }
                 () = client_check.as_mut(), if checks_client => {
                     if !state.is_connected() {
-                        log::debug!("http: client disconnected in the middle of its body");
+                        log::debug!("http: client disconnected before the end of its request body");
                         break CloseReason::Done;
                     }
                     client_check.as_mut().reset(Instant::now() + CLIENT_CHECK_INTERVAL);
@@ -234,15 +235,15 @@
         ServiceEnd { reason, descriptors_short }
     }
 
-    /// Ready once the program shuts down and the connection has had time for its first request, which may have been
-    /// written and not read yet.
+    /// Waits until the program shuts down and the connection has been open for [`FIRST_REQUEST_GRACE`], since its first
+    /// request may be in transit.
     async fn shutdown(&self, opened_at: Instant) {
         let mut closing = self.frontend.context.phases.subscribe_closing();
         let _ = closing.wait_for(|closing| *closing).await;
         sleep_until(opened_at + FIRST_REQUEST_GRACE).await;
     }
 
-    /// Why the connection closes after hyper is done with it.
+    /// Returns why the connection closes after hyper's future has completed.
     fn library_ended(&self, result: hyper::Result<()>, stream: &TcpStream) -> CloseReason {
         if let Err(error) = &result {
             log::debug!("http: connection ended: {error}");
--- a/src/frontend/http2.rs
+++ b/src/frontend/http2.rs
@@ -1,7 +1,7 @@
-//! HTTP/2 in cleartext, with prior knowledge (RFC 9113, section 3.3), on a port of its own. Framing, HPACK and flow
-//! control are the `h2` library's; which connections and streams are admitted, which are ended for abuse and how a
-//! connection shuts down is decided by `flaxgap_streams`. A stream is a request like any other: it goes through the same
-//! [`FrontendContext`].
+//! The HTTP/2 frontend: cleartext with prior knowledge (RFC 9113, section 3.3), on a port of its own. Framing, HPACK
+//! and flow control are left to the `h2` library. `flaxgap_streams` decides which streams are admitted, which
+//! connections are closed for abuse and how a connection shuts down. Requests are served by the same
+//! [`FrontendContext`] as those of HTTP/1.1.
 
 mod connection;
 mod frame_guard;
@@ -21,7 +21,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, Semaphore};
 
-/// Pause after the system would not give a connection.
+/// Pause after `accept` failed, during which descriptors may be freed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// The HTTP/2 frontend.
@@ -29,12 +29,12 @@
     context: Rc<FrontendContext<T>>,
     settings: Http2,
     admission: RefCell<Admission>,
-    /// Bounds the number of connections.
+    /// Limits the number of connections.
     connection_permits: Arc<Semaphore>,
 }
 
 impl<T: Transport + 'static> Http2Frontend<T> {
-    /// A frontend without connections.
+    /// Creates a frontend without connections.
     pub fn new(context: Rc<FrontendContext<T>>, settings: Http2) -> Rc<Http2Frontend<T>> {
         let admission =
             RefCell::new(Admission::new(settings.max_streams_per_connection, settings.max_streams));
@@ -65,12 +65,13 @@
         }
     }
 
-    /// Serves one connection and closes it. It takes its descriptor until it is closed.
+    /// Serves one connection and closes it. Its slot in the descriptor budget is held until then.
     async fn run_connection(self: Rc<Self>, stream: TcpStream, slot: ConnectionSlot) {
         let stream = Rc::new(stream);
         let descriptors_short = Rc::new(Notify::new());
         connection::serve(&self, stream.clone(), &slot, &descriptors_short).await;
-        // The library has sent its GOAWAY; bytes that still arrive are not to reset it.
+        // `h2` has sent its last frames. Bytes that still arrive are read, so that the close does not reset the
+        // connection.
         let counters = &self.context.counters;
         closing::close(&stream, CloseReason::Done, descriptors_short.notified(), counters).await;
     }
--- a/src/frontend/http2/connection.rs
+++ b/src/frontend/http2/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its preface, its streams, its graceful shutdown.
+//! Serves one HTTP/2 connection: preface, streams and graceful shutdown.
 
 use super::frame_guard::{FrameGuard, InspectedStream, Violation};
 use super::{ACCEPT_PAUSE, Http2Frontend, stream};
@@ -22,17 +22,17 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// How long the last bytes to a connection may take.
+/// Time-out of the last write to a connection that is being closed.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Far enough away for a timer that is not needed.
+/// Delay of a timer that is not needed: longer than any connection waits for its next event.
 const NEVER: Duration = Duration::from_secs(86_400);
-/// Bytes of a stream's answer that may wait in the library, past what the client's window allows.
+/// Most bytes of a stream's answer that `h2` buffers beyond the client's flow-control window.
 const SEND_BUFFER_BYTES: usize = 16 * 1024;
-/// What a client of HTTP/1 is answered here.
+/// The response to a client that speaks HTTP/1.
 const USE_HTTP2_RESPONSE: &str = "HTTP/1.1 505 HTTP Version Not Supported\r\nConnection: close\r\n\
     Content-Type: text/plain\r\nContent-Length: 32\r\n\r\nthis port speaks HTTP/2 (h2c) \r\n";
 
-/// A connection's admission, given up when dropped.
+/// Registers a connection for admission; removes it when dropped.
 struct AdmittedConnection<T> {
     frontend: Rc<Http2Frontend<T>>,
     connection: Connection,
@@ -44,8 +44,8 @@
     }
 }
 
-/// Serves a connection until nothing more is to be sent on it. `descriptors_short` is notified when descriptors run short
-/// and the connection is to close.
+/// Serves a connection until the last frame is sent. `descriptors_short` is notified when this connection has to close
+/// because descriptors run short.
 pub(super) async fn serve<T: Transport + 'static>(
     frontend: &Rc<Http2Frontend<T>>,
     stream: Rc<TcpStream>,
@@ -72,7 +72,7 @@
         Ok(Ok(Preface::Http2)) => {}
         Ok(Ok(Preface::Other(error))) => return reject(frontend, stream, error).await,
         Ok(Err(error)) => return log::debug!("http2: {error}"),
-        Err(_) => return log::debug!("http2: no preface in time"),
+        Err(_) => return log::debug!("http2: connection preface timed out"),
     }
     let guard = FrameGuard::new(FrameBudgets::new(frontend.settings.frame_limits, 0.0), opened_at);
     let inspected = InspectedStream { stream: SharedStream(stream), guard: guard.clone() };
@@ -84,7 +84,7 @@
     {
         Ok(Ok(library)) => library,
         Ok(Err(error)) => return log::debug!("http2: {error}"),
-        Err(_) => return log::debug!("http2: no settings in time"),
+        Err(_) => return log::debug!("http2: handshake timed out"),
     };
     let (ended_sender, ended) = mpsc::unbounded_channel();
     let graceful_shutdown = GracefulShutdown::new(
@@ -109,13 +109,13 @@
     open.run().await;
 }
 
-/// What a client begins with.
+/// The protocol of a client, by its first bytes.
 enum Preface {
     Http2,
     Other(NotHttp2),
 }
 
-/// Waits until it is clear what a client speaks; nothing is read.
+/// Detects the protocol of a client from its first bytes, which stay in the socket.
 async fn read_preface(stream: &TcpStream) -> io::Result<Preface> {
     let mut bytes = [0; PREFACE.len()];
     let mut peeked_before = 0;
@@ -132,14 +132,14 @@
             return Ok(Preface::Http2);
         }
         if peeked == peeked_before {
-            // The socket stays readable, so the runtime does not notify of further bytes.
+            // The socket is readable already, so the runtime does not report further bytes.
             tokio::time::sleep(ACCEPT_PAUSE).await;
         }
         peeked_before = peeked;
     }
 }
 
-/// Rejects a client that does not speak HTTP/2. One of HTTP/1 is answered in its protocol.
+/// Rejects a client that does not speak HTTP/2. A client that speaks HTTP/1 gets an HTTP/1.1 response.
 async fn reject<T>(frontend: &Http2Frontend<T>, stream: Rc<TcpStream>, error: NotHttp2) {
     frontend.context.counters.bad_input.add();
     log::info!("http2: {error}");
@@ -163,26 +163,26 @@
     builder
 }
 
-/// A stream that the library accepted, or its error; `None` at the connection's end.
+/// A stream that `h2` accepted, or an error of the connection; `None` once the connection is closed.
 type Accepted = Option<Result<(Request<RecvStream>, SendResponse<Bytes>), h2::Error>>;
 
-/// What happens on an open connection.
+/// An event of an open connection.
 enum ConnectionEvent {
-    /// The client broke a bound.
+    /// The client broke the protocol or exceeded a rate limit.
     Violation(Violation),
     /// A stream has ended.
     StreamEnded,
     /// The program shuts down.
     Shutdown,
-    /// Descriptors run short, and this connection is to close.
+    /// Descriptors run short, and this connection has to close.
     DescriptorsShort,
-    /// The graceful shutdown's timer, or the idle timer, is due.
+    /// The idle time-out or the grace time of the shutdown has passed.
     TimerDue,
-    /// The library accepted a stream, failed, or is done.
+    /// `h2` accepted a stream, failed or closed the connection.
     Accepted(Box<Accepted>),
 }
 
-/// A connection whose handshake is done.
+/// A connection that has completed its handshake.
 struct OpenConnection<'a, T> {
     library: h2::server::Connection<InspectedStream, Bytes>,
     frontend: &'a Rc<Http2Frontend<T>>,
@@ -193,7 +193,7 @@
     /// Decides when the connection shuts down.
     graceful_shutdown: GracefulShutdown,
     opened_at: Instant,
-    /// Gets a message at each stream's end.
+    /// Receives a message when a stream ends.
     ended_sender: mpsc::UnboundedSender<()>,
     ended: mpsc::UnboundedReceiver<()>,
     shutdown: watch::Receiver<bool>,
@@ -229,18 +229,21 @@
                 Action::None => {}
                 Action::SendGoaway => self.library.graceful_shutdown(),
                 Action::Close => {
-                    return log::debug!("http2: connection cut, cause={:?}", self.graceful_shutdown.cause());
+                    return log::debug!(
+                        "http2: connection closed after the grace time, cause={:?}",
+                        self.graceful_shutdown.cause()
+                    );
                 }
             }
         }
     }
 
-    /// Seconds since the connection opened.
+    /// Returns the time since the connection opened, in seconds.
     fn now(&self) -> f64 {
         self.opened_at.elapsed().as_secs_f64()
     }
 
-    /// Waits for the next event, and lets the library read and write meanwhile.
+    /// Waits for the next event while `h2` reads and writes.
     async fn next_event(&mut self) -> ConnectionEvent {
         let due = match self.graceful_shutdown.deadline() {
             Some(due) => self.opened_at + seconds(due),
@@ -259,13 +262,13 @@
         }
     }
 
-    /// Between streams the connection may be closed if descriptors run short.
+    /// Marks the connection idle between streams, so that it may be closed when descriptors run short.
     fn mark_idle(&self) {
         let notify = self.descriptors_short.clone();
         self.slot.mark_idle(move || notify.notify_one());
     }
 
-    /// Sends a GOAWAY and ends the connection.
+    /// Sends a GOAWAY with the error code of the violation and closes the connection.
     async fn end_for_violation(&mut self, violation: Violation) {
         self.frontend.context.counters.http2_turned_out.add();
         log::warn!(event = "http2_turned_out"; "http2: a connection is ended: {violation}");
@@ -302,7 +305,7 @@
     }
 
     fn library_failed(&self, error: &h2::Error) {
-        // The library has bounds of its own.
+        // `h2` has rate limits of its own.
         if error.reason() == Some(Reason::ENHANCE_YOUR_CALM) {
             self.frontend.context.counters.http2_turned_out.add();
         }
--- a/src/frontend/http2/frame_guard.rs
+++ b/src/frontend/http2/frame_guard.rs
@@ -1,4 +1,4 @@
-//! Inspects a connection's frames before the library gets them, and ends a connection that breaks its bounds.
+//! Inspects the frames of a connection before `h2` receives them, and reports violations that end the connection.
 
 use crate::frontend::closing::SharedStream;
 use flaxgap_streams::abuse::{FloodKind, FrameBudgets};
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a client did that ends its connection.
+/// A violation by the client that ends its connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum Violation {
     #[error(transparent)]
@@ -26,7 +26,7 @@
 }
 
 impl Violation {
-    /// The error code of the GOAWAY.
+    /// Returns the error code of the GOAWAY.
     pub(super) fn reason(self) -> Reason {
         match self {
             Violation::NotHttp2(_) => Reason::PROTOCOL_ERROR,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Inspects the frames of a connection, for its reader and its task.
+/// Inspects the frames of a connection. Shared by the stream that `h2` reads from and the task of the connection.
 pub(super) struct FrameGuard {
     scanner: RefCell<Scanner>,
     budgets: RefCell<FrameBudgets>,
@@ -46,7 +46,7 @@
 }
 
 impl FrameGuard {
-    /// For a connection that opened at `opened_at`, with the scores it begins with.
+    /// Creates the guard of a connection that opened at `opened_at`, with its rate limits.
     pub(super) fn new(budgets: FrameBudgets, opened_at: Instant) -> Rc<FrameGuard> {
         Rc::new(FrameGuard {
             scanner: RefCell::default(),
@@ -57,8 +57,8 @@
         })
     }
 
-    /// Inspects bytes that have arrived. Returns how many of them the library may have: nothing from a frame on that
-    /// ends the connection.
+    /// Inspects bytes that have arrived. Returns how many of them may be passed to `h2`: those before the frame that
+    /// violates the protocol or a rate limit, or all.
     fn inspect(&self, bytes: &[u8]) -> usize {
         if self.violation.get().is_some() {
             return 0;
@@ -114,7 +114,8 @@
         let received = buf.filled().len() - filled_before;
         let allowed = self.guard.inspect(&buf.filled()[filled_before..]);
         buf.set_filled(filled_before + allowed);
-        // The connection's task is notified; to the library nothing more arrives, which is not the end.
+        // After a violation `h2` receives no more bytes, but not the end of the stream either: the task of the
+        // connection has been notified and closes it.
         if received > 0 && allowed == 0 { Poll::Pending } else { Poll::Ready(Ok(())) }
     }
 }
--- a/src/frontend/http2/request_body.rs
+++ b/src/frontend/http2/request_body.rs
@@ -1,4 +1,4 @@
-//! A request's body, from the library's stream.
+//! The body of an HTTP/2 request.
 
 use bytes::Bytes;
 use h2::RecvStream;
@@ -6,17 +6,17 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// A request's body. The flow-control window of its sender opens as its bytes are taken, and no sooner.
+/// The body of an HTTP/2 request. Flow-control capacity is released only as its bytes are read.
 pub(super) struct RequestBody {
     body: RecvStream,
-    /// Bytes that are left, if the length is known.
-    left: Option<u64>,
+    /// Bytes that are still to come, if the length is known.
+    remaining: Option<u64>,
 }
 
 impl RequestBody {
-    /// The body of a stream, with the length that its head says.
+    /// Creates the body of a stream. `length` is the value of `content-length`.
     pub(super) fn new(body: RecvStream, length: Option<u64>) -> RequestBody {
-        RequestBody { body, left: length }
+        RequestBody { body, remaining: length }
     }
 }
 
@@ -31,7 +31,7 @@
         let Some(data) = ready!(self.body.poll_data(cx)) else { return Poll::Ready(None) };
         let frame = data.and_then(|data| {
             self.body.flow_control().release_capacity(data.len())?;
-            self.left = self.left.map(|left| left.saturating_sub(data.len() as u64));
+            self.remaining = self.remaining.map(|remaining| remaining.saturating_sub(data.len() as u64));
             Ok(Frame::data(data))
         });
         Poll::Ready(Some(frame))
@@ -42,9 +42,9 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        match self.left {
+        match self.remaining {
             _ if self.body.is_end_stream() => SizeHint::with_exact(0),
-            Some(left) => SizeHint::with_exact(left),
+            Some(remaining) => SizeHint::with_exact(remaining),
             None => SizeHint::default(),
         }
     }
--- a/src/frontend/http2/stream.rs
+++ b/src/frontend/http2/stream.rs
@@ -1,4 +1,4 @@
-//! One stream: its request, and its answer as fast as the client takes it.
+//! Serves one HTTP/2 stream: reads the request and sends the answer within the client's flow-control window.
 
 use super::Http2Frontend;
 use super::request_body::RequestBody;
@@ -21,23 +21,23 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// How long a request's body may take beyond its pace, as on the HTTP/1.1 frontend.
+/// Time that a request body may take beyond its transfer at the minimum rate, as on the HTTP/1.1 frontend.
 const BODY_GRACE: Duration = Duration::from_millis(2500);
 
 /// Why a stream's answer was not sent completely.
 #[derive(Debug, Error)]
 enum StreamError {
-    #[error("reset by its client")]
+    #[error("reset by the client")]
     Reset,
-    #[error("its client takes nothing")]
+    #[error("the client does not read its answer")]
     Stalled,
-    #[error("the node's answer broke off")]
+    #[error("the node's answer ended early")]
     AnswerIncomplete,
     #[error("{0}")]
     Protocol(#[from] h2::Error),
 }
 
-/// A stream's admission, given back when dropped; its connection's task is notified.
+/// An admitted stream. When dropped, it is removed from admission and the task of its connection is notified.
 struct AdmittedStream<T> {
     frontend: Rc<Http2Frontend<T>>,
     connection: Connection,
@@ -47,13 +47,13 @@
 impl<T> Drop for AdmittedStream<T> {
     fn drop(&mut self) {
         self.frontend.admission.borrow_mut().close(self.connection);
-        // The connection may have ended before.
+        // Fails if the task of the connection has ended.
         let _ = self.ended.send(());
     }
 }
 
-/// Admits a stream and serves it in a task of its own, or refuses it before anything of it is processed; whether it is
-/// admitted. `ended` gets a message at its end.
+/// Admits a stream and serves it in a task of its own, or refuses it before any part of it is processed. Returns
+/// whether it is admitted. `ended` receives a message when it ends.
 pub(super) fn admit<T: Transport + 'static>(
     frontend: &Rc<Http2Frontend<T>>,
     connection: Connection,
@@ -88,8 +88,8 @@
     true
 }
 
-/// Serves a stream, from its head to the last byte of its answer. A reset drops all of it, and with it the attempt at
-/// the node.
+/// Serves a stream up to the last byte of its answer. If the client resets the stream, the request's future is dropped,
+/// and with it the attempt at the node.
 async fn serve<T: Transport + 'static>(
     frontend: &Http2Frontend<T>,
     request: Request<RecvStream>,
@@ -97,9 +97,9 @@
 ) -> Result<(), StreamError> {
     let (head, body) = request.into_parts();
     if expects_continue(&head) && !body.is_end_stream() {
-        let mut go_on = Response::new(());
-        *go_on.status_mut() = StatusCode::CONTINUE;
-        respond.send_informational(go_on)?;
+        let mut continue_response = Response::new(());
+        *continue_response.status_mut() = StatusCode::CONTINUE;
+        respond.send_informational(continue_response)?;
     }
     let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse().ok());
     let authority_ambiguous = !has_one_authority(&head);
@@ -126,7 +126,8 @@
     head.headers.get(EXPECT).is_some_and(|expects| expects == "100-continue")
 }
 
-/// `:authority` and `host` name one authority if both are there (RFC 9113, section 8.3.1).
+/// Whether the request has at most one `host` field, which equals `:authority` if both are present (RFC 9113, section
+/// 8.3.1).
 fn has_one_authority(head: &Parts) -> bool {
     let mut hosts = head.headers.get_all(HOST).iter();
     match (head.uri.authority(), hosts.next(), hosts.next()) {
@@ -138,7 +139,7 @@
     }
 }
 
-/// Sends an answer's body to its end.
+/// Sends the body of an answer, and then END_STREAM.
 async fn send_body(
     body: &mut ResponseBody,
     send: &mut SendStream<Bytes>,
@@ -166,7 +167,8 @@
     }
 }
 
-/// Sends bytes as the client's flow-control window allows.
+/// Sends bytes as the client's flow-control window allows. Resets the stream if the window stays closed for
+/// `stall_timeout`.
 async fn send_data(
     mut data: Bytes,
     send: &mut SendStream<Bytes>,
@@ -174,7 +176,7 @@
 ) -> Result<(), StreamError> {
     while data.has_remaining() {
         send.reserve_capacity(data.len());
-        // A reset comes first, whatever capacity there is.
+        // Checked first, since capacity may be available on a stream that was reset.
         let capacity = poll_fn(|cx| match send.poll_reset(cx) {
             Poll::Ready(_) => Poll::Ready(Err(StreamError::Reset)),
             Poll::Pending => send.poll_capacity(cx).map(Ok),
--- a/src/frontend/intake.rs
+++ b/src/frontend/intake.rs
@@ -1,11 +1,11 @@
 //! Reads a client's HTTP/1.1 connection one request at a time, below hyper.
 //!
-//! hyper drops `Content-Length` if `Transfer-Encoding` is there too, so the service never sees both; a request with both
-//! may hide another one in its body. Here each head is read to its end, with hyper's own parser, before hyper gets it,
-//! and nothing that follows a request with ambiguous framing ever gets there.
+//! hyper drops `Content-Length` if `Transfer-Encoding` is present too, so the service never sees both; a request with
+//! both can smuggle another one in its body. So each head is parsed here, with the parser that hyper uses, before it is
+//! passed to hyper, and no bytes after the head of a request with ambiguous framing are passed on.
 //!
 //! [`RequestReader`] is the socket that hyper reads and writes, `framing` finds where requests end, and
-//! [`ConnectionState`] is what the reader, the service and the connection's task share.
+//! [`ConnectionState`] is shared by the reader, the service and the task of the connection.
 
 mod connection_state;
 mod framing;
--- a/src/frontend/intake/connection_state.rs
+++ b/src/frontend/intake/connection_state.rs
@@ -1,5 +1,4 @@
-//! How far the requests on a client's connection have come, and from that when the connection is to end and whether it
-//! may.
+//! Progress of the requests on a client's connection, from which its time-outs follow and whether it may be closed.
 
 use crate::core::Client;
 use crate::metrics::counters::Counters;
@@ -15,40 +14,40 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a new connection has for its first head, and a later head from its first byte on: a slow client takes 2 s,
-/// and a bad one is to be rid of within 3 s.
+/// Time-out of a head, from its first byte on; for the first head, from the accept of the connection. A slow client may
+/// take 2 s, and one that stalls has to be disconnected within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a slow client may be waited for in all, from the beginning of its head and beyond what its body's bytes take
-/// at the least pace. A client that sends at full speed and stops is to be rid of within 3 s.
+/// Time that a request may take from the beginning of its head, beyond the transfer of its body at the minimum rate. A
+/// client that sends at full speed and then stalls has to be disconnected within 3 s.
 const SLOW_REQUEST_GRACE: Duration = Duration::from_millis(2700);
-/// The least of that which is left for its body, from the end of its head.
+/// The part of [`SLOW_REQUEST_GRACE`] that is left for the body at least, from the end of the head.
 const MIN_BODY_GRACE: Duration = Duration::from_millis(1500);
-/// How long a client may leave what is sent to it unread.
+/// Time-out of a client that does not read its answer.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection is kept without a request.
+/// Time-out of a connection without a request.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
 
-/// What has arrived of the next request that is not handed on yet.
+/// How much has arrived of the next request that is not passed to hyper yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextRequest {
-    /// Nothing, and nothing before it: the connection is unused.
+    /// Nothing, and no request before it: the connection is unused.
     First,
     /// Nothing.
     NotBegun,
-    /// Some of it.
+    /// A part of it, or all.
     Arriving,
 }
 
-/// The request that was handed on and has no complete answer yet. Nothing after its body is handed on meanwhile.
+/// The request that was passed to hyper and has no complete answer yet. No later request is passed on meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CurrentRequest {
     None,
-    /// hyper has its head. `framing_ambiguous` is set if it is in doubt where it ends.
-    HandedOn {
+    /// Its head was passed to hyper. `framing_ambiguous` is set if the end of its body can't be determined.
+    PassedOn {
         framing_ambiguous: bool,
         body_incomplete: bool,
     },
-    /// The service has it. `body_incomplete` is set until its body is handed on to its end.
+    /// hyper has called the service with it. `body_incomplete` is set until its body is passed on to its end.
     Serving {
         body_incomplete: bool,
     },
@@ -61,23 +60,23 @@
     pub(super) counters: Rc<Counters>,
     next_request: Cell<NextRequest>,
     current_request: Cell<CurrentRequest>,
-    /// Some of an answer may not be with the system yet.
+    /// A part of an answer may not be written to the socket yet.
     unflushed: Cell<bool>,
-    /// Since when the client has left what is sent to it unread.
+    /// Since when the socket has not been writable, as the client does not read.
     unread_since: Cell<Option<Instant>>,
-    /// The connection is to close as soon as it is idle.
+    /// The connection has to close as soon as it is idle.
     close_requested: Cell<bool>,
-    /// A client of HTTP/2 came to this port.
+    /// The client speaks HTTP/2.
     speaks_http2: Cell<bool>,
-    /// When the newest request began to arrive.
+    /// When the latest request began to arrive.
     request_began: Cell<Instant>,
-    /// When the head that is awaited must have arrived, or the idle time ends.
+    /// When the head or body that is awaited times out, or the idle connection does.
     receive_deadline: Cell<Instant>,
     changed: Notify,
 }
 
 impl ConnectionState {
-    /// Of a new connection.
+    /// Creates the state of a new connection.
     pub fn new(stream: Rc<TcpStream>, counters: Rc<Counters>) -> Rc<ConnectionState> {
         let now = Instant::now();
         Rc::new(ConnectionState {
@@ -95,8 +94,8 @@
         })
     }
 
-    /// When the connection times out; while a request is served or its answer goes out, only if the client does not
-    /// read.
+    /// Returns when the connection times out. While a request is served or its answer is sent, it times out only if the
+    /// client does not read.
     pub fn timeout_at(&self) -> Option<Instant> {
         if let Some(unread_since) = self.unread_since.get() {
             return Some(unread_since + UNREAD_TIMEOUT);
@@ -107,7 +106,7 @@
         Some(self.receive_deadline.get())
     }
 
-    /// Waits until its timeout, or whether it may close, may have changed.
+    /// Waits until [`timeout_at`](Self::timeout_at) or [`is_idle`](Self::is_idle) may have changed.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
@@ -117,27 +116,29 @@
         self.speaks_http2.get()
     }
 
-    /// Notes that the client speaks HTTP/2, or not.
+    /// Sets whether the client speaks HTTP/2.
     pub(super) fn set_speaks_http2(&self, speaks_http2: bool) {
         self.speaks_http2.set(speaks_http2);
     }
 
-    /// Whether nothing has arrived on it yet.
+    /// Whether no byte has been received on the connection yet.
     pub fn is_unused(&self) -> bool {
         self.next_request.get() == NextRequest::First
     }
 
-    /// Whether nothing of a request is at hand, and the last answer is with the system.
+    /// Whether no part of a request has been received without a complete answer, and the last answer is written to the
+    /// socket.
     pub fn is_idle(&self) -> bool {
         !self.is_answer_due() && !self.is_next_arriving() && !self.unflushed.get()
     }
 
-    /// Whether a request is served of whose body more is to be handed on: the client's end may stand behind that.
+    /// Whether a request is served whose body is not passed on to its end. Unread bytes of it may hide that the client
+    /// has closed its side.
     pub fn is_receiving_body(&self) -> bool {
         self.current_request.get() == CurrentRequest::Serving { body_incomplete: true }
     }
 
-    /// Whether a request was handed on and its answer is not out yet.
+    /// Whether a request was passed to hyper and its answer has not left the service yet.
     pub(super) fn is_answer_due(&self) -> bool {
         self.current_request.get() != CurrentRequest::None
     }
@@ -150,17 +151,17 @@
         self.next_request.get() == NextRequest::Arriving
     }
 
-    /// Has the connection close as soon as it is idle.
+    /// Makes the connection close as soon as it is idle.
     pub fn request_close(&self) {
         self.close_requested.set(true);
     }
 
-    /// Whether it is to close as soon as it is idle.
+    /// Whether the connection has to close as soon as it is idle.
     pub fn is_close_requested(&self) -> bool {
         self.close_requested.get()
     }
 
-    /// Whether an answer may say that it is the last: no further request has come, read or not.
+    /// Whether an answer may carry `Connection: close`: no part of a further request has arrived, read or unread.
     pub fn may_announce_close(&self) -> bool {
         !self.is_next_arriving() && self.has_nothing_unread()
     }
@@ -175,15 +176,17 @@
         socket2::SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()])
     }
 
-    /// How long a request whose head has just come may be waited for beyond its body's pace.
+    /// Returns the time that the body of a request whose head has just arrived may take beyond its transfer at the
+    /// minimum rate.
     pub fn body_grace(&self) -> Duration {
         SLOW_REQUEST_GRACE.saturating_sub(self.request_began.get().elapsed()).max(MIN_BODY_GRACE)
     }
 }
 
-/// Events, in the order in which they come.
+/// Events of a request, in the order in which they occur.
 impl ConnectionState {
-    /// Bytes of a head have come, so the rest is due. A first head was due from the connection's start.
+    /// Bytes of a head have arrived: starts the time-out of the head. That of the first head runs since the accept of
+    /// the connection.
     pub(super) fn request_arriving(&self) {
         if self.next_request.replace(NextRequest::Arriving) == NextRequest::NotBegun {
             self.request_began.set(Instant::now());
@@ -192,17 +195,17 @@
         }
     }
 
-    /// A complete head is handed on.
-    pub(super) fn head_handed_on(&self, framing_ambiguous: bool, has_body: bool) {
+    /// A complete head is passed to hyper.
+    pub(super) fn head_passed_on(&self, framing_ambiguous: bool, has_body: bool) {
         self.next_request.set(NextRequest::NotBegun);
-        let current = CurrentRequest::HandedOn { framing_ambiguous, body_incomplete: has_body };
+        let current = CurrentRequest::PassedOn { framing_ambiguous, body_incomplete: has_body };
         self.current_request.set(current);
     }
 
-    /// The service has the request whose head was handed on; whether its framing is ambiguous.
+    /// hyper has called the service with the request. Returns whether its framing is ambiguous.
     pub fn service_began(&self) -> bool {
         let (framing_ambiguous, body_incomplete) = match self.current_request.get() {
-            CurrentRequest::HandedOn { framing_ambiguous, body_incomplete } => {
+            CurrentRequest::PassedOn { framing_ambiguous, body_incomplete } => {
                 (framing_ambiguous, body_incomplete)
             }
             CurrentRequest::Serving { body_incomplete } => (false, body_incomplete),
@@ -213,7 +216,8 @@
         framing_ambiguous
     }
 
-    /// Bytes of a body have come; after an early answer, the connection is kept for the rest.
+    /// Bytes of a body have arrived. If the request was answered before the end of its body, this restarts the idle
+    /// time-out, so that the rest can arrive.
     pub(super) fn body_arriving(&self) {
         if !self.is_serving() && !self.is_next_arriving() {
             self.receive_deadline.set(Instant::now() + IDLE_TIMEOUT);
@@ -221,13 +225,13 @@
         }
     }
 
-    /// The body of the newest request is handed on to its end.
+    /// The body of the latest request is passed on to its end.
     pub(super) fn body_ended(&self) {
         match self.current_request.get() {
-            // It was answered early.
+            // The request was answered before the end of its body.
             CurrentRequest::None => {}
-            CurrentRequest::HandedOn { framing_ambiguous, .. } => {
-                let current = CurrentRequest::HandedOn { framing_ambiguous, body_incomplete: false };
+            CurrentRequest::PassedOn { framing_ambiguous, .. } => {
+                let current = CurrentRequest::PassedOn { framing_ambiguous, body_incomplete: false };
                 self.current_request.set(current);
             }
             CurrentRequest::Serving { .. } => {
@@ -236,7 +240,7 @@
         }
     }
 
-    /// The request's answer has left the service; the connection is kept for another request.
+    /// The answer has left the service: starts the time-out of the next request.
     pub fn answer_ended(&self) {
         self.current_request.set(CurrentRequest::None);
         self.unflushed.set(true);
@@ -246,7 +250,7 @@
         self.changed.notify_one();
     }
 
-    /// All that was written is with the system.
+    /// hyper has written everything to the socket.
     pub(super) fn flushed(&self) {
         let was_unflushed = self.unflushed.replace(false);
         if !was_unflushed {
@@ -260,7 +264,7 @@
         }
     }
 
-    /// The system takes more of what is sent to the client, or, as long as that does not read, no more.
+    /// Notes whether the socket is writable. It is not while its send buffer is full, as the client does not read.
     pub(super) fn writable_changed(&self, is_writable: bool) {
         let unread_since = match is_writable {
             true => None,
@@ -275,7 +279,7 @@
 impl Client for ConnectionState {
     fn is_connected(&self) -> bool {
         match self.peek() {
-            // The client's end may stand behind what is unread.
+            // The client may have closed its side after the unread bytes.
             Ok(1..) => !is_half_closed(&self.stream),
             Ok(0) => false,
             Err(error) => error.kind() == io::ErrorKind::WouldBlock,
@@ -287,7 +291,7 @@
     }
 }
 
-/// Whether the other side has ended its sending, as far as the runtime knows.
+/// Whether the client has shut down its sending side, as far as the runtime has been notified.
 fn is_half_closed(stream: &TcpStream) -> bool {
     let ready = std::pin::pin!(stream.ready(Interest::READABLE));
     match ready.poll(&mut Context::from_waker(Waker::noop())) {
--- a/src/frontend/intake/reader.rs
+++ b/src/frontend/intake/reader.rs
@@ -1,6 +1,6 @@
-//! The socket that hyper reads requests from and writes answers to. It hands one request on at a time: what comes after
-//! it waits here until it is answered, so that reading never stops and the client's end is seen at once, whatever it
-//! sent before.
+//! The socket that hyper reads requests from and writes answers to. It passes one request on at a time. Later bytes are
+//! buffered here until that request is answered, so that reading never stops and a client that closes its side is
+//! noticed at once, whatever it sent before.
 
 use super::connection_state::ConnectionState;
 use super::framing::{self, MAX_HEAD_BYTES, Parsed, Part};
@@ -12,33 +12,33 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes that are read at a time.
+/// Size of a read of heads and framing, in bytes.
 const READ_BYTES: usize = 4096;
-/// Bytes of a body that are read at a time at most. Each read takes no more than all earlier ones together, so that the
-/// receive buffer of an upload that waits is nearly as its client has filled it.
+/// Largest read of a body, in bytes. No read is larger than all earlier reads of the body together, so that while an
+/// upload waits, nearly all that the client has sent stays in the socket's receive buffer.
 const MAX_BODY_READ_BYTES: usize = 64 * 1024;
-/// Most bytes that are buffered of requests that come before the current one is answered: a complete head. Clients send
-/// one request at a time; what goes past this is read and dropped, so that the client's end is seen behind it.
+/// Most bytes that are buffered of pipelined requests: one head of the largest size, as clients send one request at a
+/// time. Bytes beyond it are read and dropped, so that a client that closes its side is still noticed.
 const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES;
-/// How a client of HTTP/2 begins (RFC 9113, section 3.4).
+/// The first bytes from a client that speaks HTTP/2 (RFC 9113, section 3.4).
 const HTTP2_PREFACE: &[u8] = b"PRI * HTTP/2";
 
 /// A client's connection, read one request at a time.
 pub struct RequestReader {
     state: Rc<ConnectionState>,
     buffered: BytesMut,
-    /// How many of the buffered bytes may be handed on.
+    /// How many of the buffered bytes may be passed on.
     released: usize,
-    /// What follows the released bytes.
+    /// The part that follows the released bytes.
     next: Part,
-    /// Bytes that were read in the middle of the present body.
+    /// Bytes of the current body that were read by [`try_read_body`](Self::try_read_body).
     body_bytes_read: usize,
-    /// More came before its turn than is buffered.
+    /// More pipelined bytes have arrived than are buffered.
     pipeline_overflowed: bool,
 }
 
 impl RequestReader {
-    /// A connection from which nothing was read yet.
+    /// Creates the reader of a connection from which nothing was read yet.
     pub fn new(state: Rc<ConnectionState>) -> RequestReader {
         RequestReader {
             state,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Whether what comes next is before its turn: the request before it is not answered yet.
+    /// Whether the next bytes belong to a pipelined request: the request before it is not answered yet.
     fn is_pipelined(&self) -> bool {
         self.state.is_answer_due() && self.next == Part::Head
     }
 
-    /// Reads what has come, if any, and buffers it; returns its length, 0 at the client's end.
+    /// Reads bytes that have arrived into the buffer. Returns their number, 0 if the client has closed its side.
     fn try_read(&mut self) -> io::Result<usize> {
         let state = self.state.clone();
         if matches!(self.next, Part::Body { .. } | Part::Chunk { .. }) {
@@ -67,7 +67,7 @@
         Ok(count)
     }
 
-    /// The same in the middle of a body.
+    /// Reads bytes of a body into the buffer.
     fn try_read_body(&mut self) -> io::Result<usize> {
         let max_bytes = self.body_bytes_read.clamp(READ_BYTES, MAX_BODY_READ_BYTES);
         self.buffered.reserve(max_bytes);
@@ -76,7 +76,7 @@
         Ok(count)
     }
 
-    /// Buffers bytes that came. What belongs to no request that will be served is dropped.
+    /// Buffers bytes that were read. Drops those of requests that will not be served.
     fn buffer(&mut self, bytes: &[u8]) {
         if self.next == Part::Unreadable {
             return;
@@ -91,17 +91,17 @@
         self.buffered.extend_from_slice(bytes);
     }
 
-    /// Decides how many of the buffered bytes may be handed on.
+    /// Releases the buffered bytes of the next part, so that they may be passed on.
     fn release(&mut self) {
         match self.next {
             Part::Head => self.release_head(),
-            Part::Body { left } => match self.release_body(left) {
+            Part::Body { remaining } => match self.release_body(remaining) {
                 0 => self.request_ended(),
-                left => self.next = Part::Body { left },
+                remaining => self.next = Part::Body { remaining },
             },
-            Part::Chunk { left } => match self.release_body(left) {
+            Part::Chunk { remaining } => match self.release_body(remaining) {
                 0 => self.next = Part::ChunkSize,
-                left => self.next = Part::Chunk { left },
+                remaining => self.next = Part::Chunk { remaining },
             },
             Part::ChunkSize => self.release_framing(framing::parse_chunk_size(&self.buffered)),
             Part::Trailer => {
@@ -124,7 +124,7 @@
             Parsed::Complete { length, next } => {
                 let framing_ambiguous = next == Part::Unreadable;
                 let has_body = next != Part::Head;
-                self.state.head_handed_on(framing_ambiguous, has_body);
+                self.state.head_passed_on(framing_ambiguous, has_body);
                 if !has_body && self.buffered.len() > length {
                     self.state.request_arriving();
                 }
@@ -133,8 +133,8 @@
         self.release_framing(parsed);
     }
 
-    /// Releases a head or a line of a body's framing once it is complete. One that can't be read is hyper's to answer,
-    /// and nothing comes after it.
+    /// Releases a head, a chunk-size line or a trailer section once it is complete. A malformed one is released too,
+    /// since hyper answers it, and nothing is released after it.
     fn release_framing(&mut self, parsed: Parsed) {
         match parsed {
             Parsed::Incomplete => {}
@@ -149,14 +149,15 @@
         }
     }
 
-    /// Releases what is buffered of a body of which `left` bytes are to come; how many are to come after these.
-    fn release_body(&mut self, left: u64) -> u64 {
+    /// Releases the buffered bytes of a body of which `remaining` bytes are still to come. Returns how many are to come
+    /// after them.
+    fn release_body(&mut self, remaining: u64) -> u64 {
         self.state.body_arriving();
-        self.released = self.buffered.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-        left - self.released as u64
+        self.released = self.buffered.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
+        remaining - self.released as u64
     }
 
-    /// The request's last byte is released.
+    /// Notes that the last byte of the request is released.
     fn request_ended(&mut self) {
         self.next = Part::Head;
         self.body_bytes_read = 0;
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Hands released bytes on.
-    fn hand_on(&mut self, buf: &mut ReadBuf<'_>) {
+    /// Passes released bytes on to `buf`.
+    fn pass_on(&mut self, buf: &mut ReadBuf<'_>) {
         let count = self.released.min(buf.remaining());
         buf.put_slice(&self.buffered[..count]);
         self.buffered.advance(count);
@@ -204,11 +205,12 @@
                 this.release();
             }
             if this.released > 0 {
-                this.hand_on(buf);
+                this.pass_on(buf);
                 return Poll::Ready(Ok(()));
             }
             if this.pipeline_overflowed && !this.is_pipelined() {
-                // What was buffered of it is served. The rest is dropped, and it is unknown where a request begins.
+                // The buffered requests have been served. The rest was dropped, so it is unknown where the next one
+                // begins.
                 this.state.counters.floods.add();
                 log::info!("http: too many pipelined bytes, connection closes, max={MAX_PIPELINED_BYTES}");
                 return Poll::Ready(Ok(()));
@@ -241,7 +243,7 @@
         true
     }
 
-    /// hyper flushes once all that it had is written.
+    /// Notes that the answer is written to the socket: hyper flushes after it has written all of its buffer.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.state.flushed();
         Poll::Ready(Ok(()))
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts: each takes requests out of one protocol, has the core serve them and words the answers.
+//! The frontends. Each parses the requests of one protocol, has the core serve them and encodes the answers.
 
 pub mod admin;
 pub mod block;
--- a/src/frontend/request.rs
+++ b/src/frontend/request.rs
@@ -1,5 +1,5 @@
-//! What the HTTP frontends share: a request's head read into a [`Call`], its body at a client's pace, and the answer as a
-//! response. Nothing here knows how a version of HTTP frames them.
+//! The part that the HTTP frontends share: parses a request into a [`Call`], reads its body within time limits, and
+//! encodes the answer as a response. Does not depend on the version of HTTP.
 
 mod error;
 mod fields;
@@ -28,30 +28,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest body that is buffered completely, in bytes, so that its request can be sent again.
+/// Longest body that is buffered completely, in bytes. Only a request with a buffered body can be sent again.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// What the frontends share.
+/// State that the HTTP frontends share.
 pub struct FrontendContext<T> {
-    /// Serves calls.
+    /// Sends calls to nodes, with retries.
     pub dispatcher: Rc<Dispatcher>,
-    /// The way to the nodes.
+    /// Transport to the nodes.
     pub transport: Rc<T>,
     /// Names of classes and plans.
     pub notes: WireSettings,
-    /// The program's phase.
+    /// Phase of the process, and its open connections.
     pub phases: Rc<Lifecycle>,
-    /// The descriptors.
+    /// Limits the file descriptors of connections.
     pub budget: Rc<DescriptorBudget>,
-    /// The memory for bodies.
+    /// Limits the memory for buffered bodies.
     pub memory: Rc<BodyMemory>,
-    /// The counters.
+    /// Counters of the process.
     pub counters: Rc<Counters>,
 }
 
 impl<T: Transport + 'static> FrontendContext<T> {
-    /// Answers a request. `body_grace` is the time that its body has beyond its pace; `framing_ambiguous` is set if it is
-    /// in doubt where it ends; `client` is who waits, if that can be asked at any moment.
+    /// Answers a request. `body_grace` is the time that the body may take beyond its transfer at the minimum rate.
+    /// `framing_ambiguous` rejects the request, since the end of its body or its authority can't be determined.
+    /// `client` tells whether the client is still connected, if the protocol can find out.
     pub async fn answer<B>(
         &self,
         request: Request<B>,
@@ -76,7 +77,7 @@
             Err(error) => return self.reject(&error),
         };
         let in_flight = self.counters.track_request(fields.class);
-        // Boxed, so that its memory is free again once the body has come.
+        // Boxed, so that the future's memory is freed once the body has been read.
         let call = Box::pin(self.read_call(request, fields, body_grace, client)).await;
         match call.and_then(|call| self.claim_id(call)) {
             Ok(call) => self.serve(call, in_flight).await,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Answers a path of the head's own; `None` for any other.
+    /// Answers the status paths of the head itself. Returns `None` for any other path.
     fn answer_status_path(&self, path: &str) -> Option<Response<ResponseBody>> {
         match path {
             "/-/ready" => {
@@ -102,14 +103,14 @@
         }
     }
 
-    /// Answers a request that can't be served.
+    /// Returns the response to a request that can't be served, and counts it.
     fn reject(&self, error: &BadRequest) -> Response<ResponseBody> {
         self.counters.bad_input.add();
         log::debug!("http: {error}");
         plain(error.status(), format!("{error}\n"))
     }
 
-    /// Claims a call's id: a second request with the same one would be taken for a copy at the node.
+    /// Claims the request id of a call. A node would take a second request with the same id for a copy of the first.
     fn claim_id(&self, call: Call) -> Result<Call, BadRequest> {
         if self.dispatcher.claim_request_id(&call.node_request.id) {
             Ok(call)
@@ -121,14 +122,15 @@
     async fn serve(&self, call: Call, in_flight: InFlightRequest) -> Response<ResponseBody> {
         let upload = call.node_request.payload.upload().cloned();
         let answer = self.dispatcher.serve(&*self.transport, call, in_flight).await;
-        // An answer may come before the body's end; a client that is still sending could not read it.
+        // An answer may arrive before the end of the body. The rest is read, since a client that is still sending might
+        // not read the answer.
         if let Some(upload) = upload.filter(|upload| upload.ended_at().is_none()) {
             tokio::task::spawn_local(upload.drain());
         }
         response::from_answer(answer)
     }
 
-    /// Reads a request's body and makes the call.
+    /// Reads the body of a request and builds the call.
     async fn read_call<B>(
         &self,
         request: Request<B>,
@@ -144,7 +146,7 @@
         let id = field_bytes(&head.headers, "x-correlation-id").unwrap_or_default();
         let idempotency_key = field_bytes(&head.headers, "idempotency-key");
         let body = self.read_body(body, fields.operation, body_grace).await?;
-        // A request's time counts from its last byte.
+        // The client's time limit runs from the last byte of the request, or of the part that is buffered.
         let time_left = seconds(fields.time_left_s);
         let deadline = Instant::now() + time_left;
         let payload = body.into_payload(time_left, &self.memory);
@@ -169,7 +171,7 @@
         })
     }
 
-    /// Buffers a request's body, or the beginning of a long one. A read must have none.
+    /// Buffers the body of a request, or the beginning of a long one. A read with a body is an error.
     async fn read_body<B>(
         &self,
         body: B,
@@ -198,7 +200,7 @@
     }
 }
 
-/// A request's body of which the beginning, or all, is buffered.
+/// A request body that is buffered in part or completely.
 struct ReadBody<B> {
     buffered: GatheredBody,
     rest: PacedBody<B>,
@@ -206,7 +208,7 @@
 }
 
 impl<B: Body<Data = Bytes> + Unpin + 'static> ReadBody<B> {
-    /// The payload for a node. `response_timeout` is how long the client waits after the body's last byte.
+    /// Returns the payload for a node. `response_timeout` is how long the client waits after the last byte of the body.
     fn into_payload(self, response_timeout: Duration, memory: &Rc<BodyMemory>) -> Payload {
         if self.buffered.is_complete {
             return Payload::Buffered(self.buffered.bytes);
@@ -218,7 +220,7 @@
     }
 }
 
-/// The value of a field as the client sent it.
+/// Returns the value of a field as the client sent it.
 fn field_bytes(headers: &HeaderMap, name: &str) -> Option<Bytes> {
     headers.get(name).map(|value: &HeaderValue| Bytes::copy_from_slice(value.as_bytes()))
 }
--- a/src/frontend/request/error.rs
+++ b/src/frontend/request/error.rs
@@ -1,39 +1,39 @@
-//! Requests that can't be served as they came, and the status that answers them.
+//! Errors of malformed or unacceptable requests, and the status codes of their responses.
 
 use hyper::{Method, StatusCode};
 use thiserror::Error;
 
-/// What is wrong with a request.
+/// Why a request can't be served.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum BadRequest {
-    /// The method has no meaning here.
-    #[error("method {0} is not served")]
+    /// The method is neither GET nor PUT.
+    #[error("method {0} is not supported")]
     Method(Method),
-    /// The path is not class, volume and object.
+    /// The path is not of the form `/CLASS/VOLUME/OBJECT`.
     #[error("path: {0}")]
     Path(&'static str),
     /// A field is missing, malformed or repeated.
-    #[error("{0} is missing, malformed or there twice")]
+    #[error("{0} is missing, malformed or repeated")]
     Field(&'static str),
-    /// A write of a class that reads, or the other way round.
-    #[error("method {0} is not this class's")]
+    /// A write in a class of reads, or a read in a class of writes.
+    #[error("method {0} is not allowed for this class")]
     ClassMethod(Method),
-    /// It is ambiguous where the body ends.
-    #[error("the length of the body is in doubt")]
+    /// The end of the body or the authority is ambiguous, the body ended early, or a read has a body.
+    #[error("the length of the body is ambiguous or invalid")]
     Length,
-    /// The body is longer than any that is served.
-    #[error("a body past any sensible length")]
+    /// The body exceeds the maximum length.
+    #[error("the body is too long")]
     TooLong,
-    /// The body did not arrive in time.
-    #[error("the body did not come whole in time")]
+    /// The body did not arrive completely within the time-out.
+    #[error("the body did not arrive completely in time")]
     Slow,
-    /// Another request has this id.
-    #[error("this id is another request's")]
+    /// Another request has the same id.
+    #[error("x-correlation-id is in use by another request")]
     Duplicate,
 }
 
 impl BadRequest {
-    /// The status of its answer.
+    /// Returns the status code of the response.
     pub(super) fn status(&self) -> StatusCode {
         match self {
             BadRequest::Method(_) | BadRequest::ClassMethod(_) => StatusCode::METHOD_NOT_ALLOWED,
--- a/src/frontend/request/fields.rs
+++ b/src/frontend/request/fields.rs
@@ -1,4 +1,4 @@
-//! What the scheduler needs to know of a request, read from its head. Everything else is forwarded as it came.
+//! Parses the fields of a request's head that the scheduler needs. The others are not interpreted here.
 
 use super::error::BadRequest;
 use crate::config::WireSettings;
@@ -9,14 +9,14 @@
 
 /// Longest request id, in bytes.
 const MAX_ID_BYTES: usize = 64;
-/// Longest time that a client may say it waits, in seconds.
+/// Largest value of `x-time-left`, in seconds.
 const MAX_TIME_LEFT_S: f64 = 3600.0;
 /// Largest size of a request, in units.
 const MAX_UNITS: f64 = 1e6;
-/// Digits of a volume's or an object's number.
+/// Number of hexadecimal digits of a volume's or object's id in a path.
 const ID_HEX_DIGITS: usize = 16;
 
-/// The fields of a request's head that decisions need.
+/// The fields of a request's head that the scheduler needs.
 #[derive(Debug, PartialEq)]
 pub(super) struct RequestFields {
     pub(super) operation: Operation,
@@ -24,25 +24,25 @@
     pub(super) volume: VolumeId,
     pub(super) extent: ExtentId,
     pub(super) plan: PlanId,
-    /// How long the client waits, in seconds, bounded by its class's deadline.
+    /// How long the client waits, in seconds; at most the deadline of the class.
     pub(super) time_left_s: f64,
     pub(super) placement: Placement,
-    /// The client marked it as a retry of its own.
+    /// Whether the client marked the request as a retry (`x-repeat: 1`).
     pub(super) is_client_retry: bool,
 }
 
-/// Where the data is, and how large a request is: the field `x-placement`.
+/// Location of the data and size of the request, from the field `x-placement`.
 #[derive(Debug, PartialEq)]
 pub(super) struct Placement {
-    /// The request's size.
+    /// Size of the request, in units.
     pub(super) units: f64,
-    /// The shard with the data, if it has one yet.
+    /// Shard with the data; `None` if the data has no shard yet.
     pub(super) shard: Option<ShardId>,
-    /// Number of heads that the volume's requests come through.
+    /// Number of heads that receive requests for the volume.
     pub(super) heads: u32,
 }
 
-/// What a path names: `/CLASS/VOLUME/OBJECT`.
+/// A parsed path, `/CLASS/VOLUME/OBJECT`.
 struct RequestPath {
     class: ClassId,
     volume: VolumeId,
@@ -50,7 +50,7 @@
 }
 
 impl RequestFields {
-    /// Reads them. An error names the first that is missing or malformed.
+    /// Parses the fields. Returns an error for the first one that is missing, malformed or repeated.
     pub(super) fn read(
         method: &Method,
         path: &str,
@@ -102,7 +102,7 @@
     if is_well_formed { u64::from_str_radix(digits, 16).ok() } else { None }
 }
 
-/// The value of a field that must be there once.
+/// Returns the value of a field that must be present exactly once.
 fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, BadRequest> {
     let mut values = headers.get_all(name).iter();
     let (Some(value), None) = (values.next(), values.next()) else { return Err(BadRequest::Field(name)) };
@@ -110,7 +110,7 @@
     Ok(text.trim())
 }
 
-/// Checks the request id, and the idempotency key if there is one.
+/// Validates the request id, and the idempotency key if there is one.
 fn check_ids(headers: &HeaderMap) -> Result<(), BadRequest> {
     let id = text(headers, "x-correlation-id")?;
     if id.is_empty() || id.len() > MAX_ID_BYTES || id.contains([' ', '\t', ',']) {
@@ -144,7 +144,7 @@
     })
 }
 
-/// Parses `units=N, shard=N, hosts=N`. Units are required; a negative shard stands for none; other names are skipped.
+/// Parses `units=N, shard=N, hosts=N`. `units` is required, a negative `shard` means none, and other names are ignored.
 fn parse_placement(text: &str) -> Option<Placement> {
     let mut units: Option<f64> = None;
     let mut shard: Option<i64> = None;
--- a/src/frontend/request/paced_body.rs
+++ b/src/frontend/request/paced_body.rs
@@ -1,4 +1,5 @@
-//! A request's body at a client's pace: a client that stops is an error, a slow one is not.
+//! A request body with a minimum transfer rate: a client that stalls is an error, one that is slow within limits is
+//! not.
 
 use super::error::BadRequest;
 use crate::core::content::IncompleteBody;
@@ -13,20 +14,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// The least pace of a body, in bytes per second.
+/// Minimum transfer rate of a body, in bytes per second.
 const MIN_BODY_RATE: f64 = 60e3;
-/// Longest pause in a body.
+/// Longest wait for a frame of a body.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2700);
 
-/// A body that must arrive at a least pace. Only the time counts in which it is waited for.
+/// A body that must arrive at a minimum rate. Only the time that the server waits for the client counts.
 pub(super) struct PacedBody<B> {
     body: B,
-    /// Time that it may take beyond its pace.
+    /// Time that the body may take beyond its transfer at the minimum rate.
     grace: Duration,
     received_bytes: u64,
-    /// For how long it was waited for, up to its last frame.
+    /// Total time of the waits for frames that have ended.
     waited: Duration,
-    /// Since when its next frame is waited for.
+    /// Since when the next frame is waited for.
     waiting_since: Option<Instant>,
     timeout: Pin<Box<Sleep>>,
 }
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Waits for the next frame; ready once it is late.
+    /// Returns ready once the next frame is late. The first call of a wait starts its time-out.
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         if self.waiting_since.is_none() {
             let now = Instant::now();
@@ -55,14 +56,14 @@
         self.timeout.as_mut().poll(cx)
     }
 
-    /// Ends a wait for the next frame, whether it has come or not.
+    /// Ends the wait for the next frame, whether it has arrived or not.
     fn end_wait(&mut self) {
         if let Some(since) = self.waiting_since.take() {
             self.waited += since.elapsed();
         }
     }
 
-    /// Notes that the next frame, or the end, has come.
+    /// Notes that the next frame or the end of the body has arrived.
     fn frame_received(&mut self, data_bytes: usize) {
         self.end_wait();
         self.received_bytes += data_bytes as u64;
--- a/src/frontend/request/response.rs
+++ b/src/frontend/request/response.rs
@@ -1,4 +1,4 @@
-//! Answers as HTTP responses, and their bodies.
+//! Encodes answers as HTTP responses.
 
 use crate::core::Answer;
 use crate::core::content::{ByteStream, IncompleteBody, StreamedBody};
@@ -10,34 +10,34 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// The body of an answer: buffered, or forwarded as it arrives. Its request is settled at its end.
+/// The body of a response, buffered or streamed from a node. The outcome of the request is recorded at its end.
 pub struct ResponseBody {
     buffered: Option<Bytes>,
     rest: Option<ByteStream>,
-    /// Bytes that are left, if the length is known.
-    left: Option<u64>,
+    /// Bytes that are still to be sent, if the length is known.
+    remaining: Option<u64>,
     request: Option<InFlightRequest>,
     on_end: Option<Box<dyn FnOnce()>>,
 }
 
 impl ResponseBody {
-    /// The body of an answer to a request, or of one that is no request's (`None`).
+    /// Creates a body. `request` is the request whose outcome it records; `None` for a response of the head itself.
     fn new(content: StreamedBody, request: Option<InFlightRequest>) -> ResponseBody {
         let StreamedBody { buffered, rest, length } = content;
         let buffered = Some(buffered).filter(|buffered| !buffered.is_empty());
-        let body = ResponseBody { buffered, rest, left: length, request, on_end: None };
+        let body = ResponseBody { buffered, rest, remaining: length, request, on_end: None };
         if body.rest.is_none() {
-            body.settle(FinalOutcome::Served);
+            body.record_outcome(FinalOutcome::Served);
         }
         body
     }
 
-    /// Has `on_end` called when the body is dropped, complete or not.
+    /// Sets a callback that is called when the body is dropped, sent completely or not.
     pub fn on_end(&mut self, on_end: impl FnOnce() + 'static) {
         self.on_end = Some(Box::new(on_end));
     }
 
-    fn settle(&self, outcome: FinalOutcome) {
+    fn record_outcome(&self, outcome: FinalOutcome) {
         if let Some(request) = &self.request {
             request.finish(outcome);
         }
@@ -53,21 +53,22 @@
         }
     }
 
-    /// Counts a chunk, or the end, and settles the request if it is the last.
+    /// Notes a chunk, an error or the end of the body. Records the outcome of the request once the last byte is sent or
+    /// the body has failed.
     fn chunk_sent(&mut self, chunk: Option<&Result<Bytes, IncompleteBody>>) {
         match chunk {
             Some(Ok(bytes)) => {
-                self.left = self.left.map(|left| left.saturating_sub(bytes.len() as u64));
-                if self.left == Some(0) {
-                    self.settle(FinalOutcome::Served);
+                self.remaining = self.remaining.map(|remaining| remaining.saturating_sub(bytes.len() as u64));
+                if self.remaining == Some(0) {
+                    self.record_outcome(FinalOutcome::Served);
                 }
             }
-            // The client can tell by the length or the chunks, and by the connection's end.
+            // The client detects the truncation: the body is shorter than its length or lacks its last chunk.
             Some(Err(error)) => {
                 log::debug!("http: answer incomplete: {error}");
-                self.settle(FinalOutcome::Failed);
+                self.record_outcome(FinalOutcome::Failed);
             }
-            None => self.settle(FinalOutcome::Served),
+            None => self.record_outcome(FinalOutcome::Served),
         }
     }
 }
@@ -98,11 +99,11 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.remaining.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
-/// A response with a text of the head's own.
+/// Returns a plain-text response of the head itself.
 pub(super) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::new(text.into().into(), None));
     *response.status_mut() = status;
@@ -110,7 +111,7 @@
     response
 }
 
-/// The response that gives the core's answer.
+/// Converts an answer of the core into a response.
 pub(super) fn from_answer(answer: Answer) -> Response<ResponseBody> {
     match answer {
         Answer::Served(content, request) => Response::new(ResponseBody::new(content, Some(request))),
