--- a/src/frontend/http2/frame_guard.rs
+++ b/src/frontend/http2/frame_guard.rs
@@ -1,7 +1,7 @@
-//! Inspects a connection's frames before the library gets them, and ends a connection that breaks its bounds.
+//! Inspects the frames of a connection before `h2` receives them, and reports violations that end the connection.
 
 use crate::frontend::closing::SharedStream;
-use flaxgap_streams::abuse::{Kind, Scores};
+use flaxgap_streams::abuse::{FloodKind, FrameBudgets};
 use flaxgap_streams::frames::{NotHttp2, Scanner};
 use h2::Reason;
 use std::cell::{Cell, RefCell};
@@ -14,19 +14,19 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a client did that ends its connection.
+/// A violation by the client that ends its connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum Violation {
     #[error(transparent)]
     NotHttp2(#[from] NotHttp2),
     #[error("too many {0}")]
-    Flood(Kind),
+    Flood(FloodKind),
     #[error("a frame of type {kind} with {length} bytes")]
     FrameSize { kind: u8, length: u32 },
 }
 
 impl Violation {
-    /// The error code of the GOAWAY.
+    /// Returns the error code of the GOAWAY.
     pub(super) fn reason(self) -> Reason {
         match self {
             Violation::NotHttp2(_) => Reason::PROTOCOL_ERROR,
@@ -36,40 +36,40 @@
     }
 }
 
-/// Inspects the frames of a connection, for its reader and its task.
+/// Inspects the frames of a connection. Shared by the stream that `h2` reads from and the task of the connection.
 pub(super) struct FrameGuard {
     scanner: RefCell<Scanner>,
-    scores: RefCell<Scores>,
+    budgets: RefCell<FrameBudgets>,
     opened_at: Instant,
     violation: Cell<Option<Violation>>,
     violated: Notify,
 }
 
 impl FrameGuard {
-    /// For a connection that opened at `opened_at`, with the scores it begins with.
-    pub(super) fn new(scores: Scores, opened_at: Instant) -> Rc<FrameGuard> {
+    /// Creates the guard of a connection that opened at `opened_at`, with its rate limits.
+    pub(super) fn new(budgets: FrameBudgets, opened_at: Instant) -> Rc<FrameGuard> {
         Rc::new(FrameGuard {
             scanner: RefCell::default(),
-            scores: RefCell::new(scores),
+            budgets: RefCell::new(budgets),
             opened_at,
             violation: Cell::new(None),
             violated: Notify::new(),
         })
     }
 
-    /// Inspects bytes that have arrived. Returns how many of them the library may have: nothing from a frame on that
-    /// ends the connection.
+    /// Inspects bytes that have arrived. Returns how many of them may be passed to `h2`: those before the frame that
+    /// violates the protocol or a rate limit, or all.
     fn inspect(&self, bytes: &[u8]) -> usize {
         if self.violation.get().is_some() {
             return 0;
         }
         let now = self.opened_at.elapsed().as_secs_f64();
-        let mut scores = self.scores.borrow_mut();
+        let mut budgets = self.budgets.borrow_mut();
         let mut violation = None;
-        let scanned = self.scanner.borrow_mut().take(bytes, |head| {
-            let flood = scores.count(now, &head).map(Violation::Flood);
-            let frame_size = Violation::FrameSize { kind: head.kind, length: head.length };
-            violation = if head.fits() { flood } else { Some(frame_size) };
+        let scanned = self.scanner.borrow_mut().scan(bytes, |header| {
+            let flood = budgets.count(now, &header).map(Violation::Flood);
+            let frame_size = Violation::FrameSize { kind: header.kind, length: header.length };
+            violation = if header.has_valid_length() { flood } else { Some(frame_size) };
             violation.is_none()
         });
         let allowed = match scanned {
@@ -114,7 +114,8 @@
         let received = buf.filled().len() - filled_before;
         let allowed = self.guard.inspect(&buf.filled()[filled_before..]);
         buf.set_filled(filled_before + allowed);
-        // The connection's task is notified; to the library nothing more arrives, which is not the end.
+        // After a violation `h2` receives no more bytes, but not the end of the stream either: the task of the
+        // connection has been notified and closes it.
         if received > 0 && allowed == 0 { Poll::Pending } else { Poll::Ready(Ok(())) }
     }
 }
