--- a/tests/kills_handover.rs
+++ b/tests/kills_handover.rs
@@ -204,7 +204,7 @@
                 client.answer()
             });
         }
-        killed.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("{what}: the message never came"));
+        killed.recv_timeout(WAIT_TIMEOUT).unwrap_or_else(|_| panic!("{what}: the message never came"));
 
         wait_served(older.http, &what);
         if kill_at.who == Killed::Newer {
--- a/tests/peers/frames.rs
+++ b/tests/peers/frames.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// How long an answer is waited for; a busy machine may be slow.
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Error codes (RFC 9113, section 7).
 pub mod code {
@@ -206,7 +206,7 @@
 
     /// Reads until something holds of what was seen, or its time is over; whether it holds.
     pub fn until(&mut self, holds: impl Fn(&Seen) -> bool) -> bool {
-        let by = Instant::now() + PATIENCE;
+        let by = Instant::now() + WAIT_TIMEOUT;
         while !holds(&self.seen) {
             let Some(frame) = self.next(by) else { return holds(&self.seen) };
             self.note(&frame);
--- a/tests/peers/initiator.rs
+++ b/tests/peers/initiator.rs
@@ -1,6 +1,6 @@
 //! A stand-in iSCSI initiator, written from the standard and not from the target's code.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -39,7 +39,7 @@
 impl Initiator {
     pub fn connect(address: SocketAddr) -> Initiator {
         let stream = TcpStream::connect(address).expect("the target listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
         Initiator { stream, command: 1, task: 0, most: 0 }
     }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -18,7 +18,7 @@
 use timing::{StampedStream, WallTime, wall_time};
 
 /// Longest time that a story waits for anything; only failures take that long.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One HTTP message as it came: the first line, the headers (names in lower case) and the body.
 #[derive(Clone, Debug, Default)]
@@ -207,7 +207,7 @@
 
 /// Waits until something holds.
 pub fn wait<O>(mut holds: impl FnMut() -> Option<O>) -> O {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(found) = holds() {
             return found;
@@ -226,7 +226,7 @@
 
 /// A change that discovery has, from this moment on.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct PublishedUpdate {
     pub at: WallTime,
     version: usize,
 }
@@ -345,7 +345,7 @@
 
     /// For how long a change was not written although a call was there for it: what this stand-in's threads, not the head,
     /// were late. Zero where no call was there; that is the head's. Since it last fell silent.
-    pub fn lateness(&self, told: &Told) -> Duration {
+    pub fn lateness(&self, told: &PublishedUpdate) -> Duration {
         let life = self.cut.1.load(Ordering::SeqCst);
         let calls = self.live_calls.lock().expect("calls");
         let arrivals = calls.iter().filter(|call| call.life == life).map(|call| call.arrived);
@@ -358,13 +358,13 @@
     }
 
     /// Has another whole list from the start, of the next version.
-    pub fn replace(&self, entries: &[String]) -> Told {
+    pub fn replace(&self, entries: &[String]) -> PublishedUpdate {
         let mut lines = self.lines.lock().expect("lines");
         let rev = lines.len() + 1;
         let whole = format!(r#"{{"rev":{rev},"all":true,"targets":[{}]}}"#, entries.join(","));
         lines.push(whole.clone());
         lines[0] = whole;
-        Told { at: wall_time(), version: rev }
+        PublishedUpdate { at: wall_time(), version: rev }
     }
 
     /// The calls and watches so far, by their first lines.
@@ -378,14 +378,14 @@
     }
 
     /// What is open falls silent for good; new calls are answered.
-    pub fn hush(&self) {
+    pub fn silence_open_calls(&self) {
         self.cut.1.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Cuts it off: nothing speaks, and what is open or called until its return never will.
     pub fn cut_off(&self, off: bool) {
         self.cut.0.store(off, Ordering::SeqCst);
-        self.hush();
+        self.silence_open_calls();
     }
 
     /// The whole list as it was at the start.
@@ -394,11 +394,11 @@
     }
 
     /// Tells every watch of changed entries.
-    pub fn push(&self, entries: &[String]) -> Told {
+    pub fn push(&self, entries: &[String]) -> PublishedUpdate {
         let mut lines = self.lines.lock().expect("lines");
         let rev = lines.len() + 1;
         lines.push(format!(r#"{{"rev":{rev},"all":false,"targets":[{}]}}"#, entries.join(",")));
-        Told { at: wall_time(), version: rev }
+        PublishedUpdate { at: wall_time(), version: rev }
     }
 }
 
@@ -660,7 +660,7 @@
 impl Client {
     pub fn new(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("the head listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
         Client { from: BufReader::new(stream.try_clone().expect("a handle")), stream }
     }
@@ -668,7 +668,7 @@
     /// The same; none if the head does not listen.
     pub fn try_new(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(Client { from: BufReader::new(stream.try_clone().ok()?), stream })
     }
@@ -685,7 +685,7 @@
         socket.set_recv_buffer_size(4096).expect("a buffer");
         socket.connect(&address.into()).expect("the head listens");
         let stream = TcpStream::from(socket);
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
         Client { from: BufReader::new(stream.try_clone().expect("a handle")), stream }
     }
@@ -818,7 +818,7 @@
                 }
                 Say::Raw(bytes) => out.write_all(&bytes).ok()?,
                 Say::Hold => loop {
-                    thread::sleep(PATIENCE);
+                    thread::sleep(WAIT_TIMEOUT);
                 },
                 Say::Close | Say::Pause(_) => return None,
             }
--- a/tests/peers/stand.rs
+++ b/tests/peers/stand.rs
@@ -85,7 +85,7 @@
 
     /// Waits, with all of the stand running, until something holds.
     pub async fn until(&self, mut holds: impl FnMut(&Stand) -> bool) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !holds(self) {
             assert!(Instant::now() < end, "it never came to that");
             tokio::time::sleep(Duration::from_millis(2)).await;
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -59,7 +59,7 @@
 const BACKOFF: (f64, f64) = (0.05, 1.0);
 const ASK: (f64, f64) = (0.5, 8.0);
 /// Part of its time that late work waits for its first send: later, a refusal costs more than it earns.
-const PATIENCE: f64 = 0.45;
+const WAIT_TIMEOUT: f64 = 0.45;
 /// Seconds after which a volume's stores are full again, unless its limit takes longer.
 const MEMORY: f64 = 60.0;
 /// Multiples of the tightest aim that a request is waited for that shows whether a cut way is open again.
@@ -569,10 +569,10 @@
     }
 
     /// Answers at once a repeat past its window, and work that its volume's limit lets pass neither before it
-    /// is late nor, being late, within `PATIENCE` of its time.
+    /// is late nor, being late, within `WAIT_TIMEOUT` of its time.
     fn give_up(&mut self, actions: &mut Vec<Action>) {
         // Exception: with half the clients' connections waiting, late work waits no more; others need them.
-        let patience = if self.held.len() > self.set.max_pending / 2 { 0.0 } else { PATIENCE };
+        let patience = if self.held.len() > self.set.max_pending / 2 { 0.0 } else { WAIT_TIMEOUT };
         let queued: Vec<RequestId> = self.held.iter().filter(|(_, h)| h.queued).map(|(id, _)| *id).collect();
         for id in queued {
             let (held, now) = (&self.held[&id], self.now);
--- a/tests/relays.rs
+++ b/tests/relays.rs
@@ -199,7 +199,7 @@
 impl Watch {
     fn open(address: SocketAddr, since: u64) -> Watch {
         let mut stream = TcpStream::connect(address).expect("the relay listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         let call = format!("GET /api/targets?follow=1&since={since} HTTP/1.1\r\nHost: relay\r\n\r\n");
         stream.write_all(call.as_bytes()).expect("written");
         let mut watch = Watch(BufReader::new(stream));
@@ -382,7 +382,7 @@
             let text = format!("{:x}\r\n{list}\n\r\n", list.len() + 1);
             let _ = stream
                 .write_all(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{text}").as_bytes());
-            thread::sleep(PATIENCE);
+            thread::sleep(WAIT_TIMEOUT);
         }
     });
     wait(|| (get(relay.address, "/-/ready").status() == 200).then_some(()));
--- a/tests/scenarios_block.rs
+++ b/tests/scenarios_block.rs
@@ -374,7 +374,7 @@
     let discovery = Discovery::start(&[entry("s-1", brick.address, 0, "ready")]);
     let head = Head::start(&discovery, Some(BLOCK), &[]);
     let mut stream = std::net::TcpStream::connect(head.block.expect("the block front")).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
     stream.write_all(&[0xff; 200_000]).expect("written");
     let ended = stream.read_to_end(&mut Vec::new());
     assert!(ended.is_ok(), "{ended:?}");
--- a/tests/scenarios_http.rs
+++ b/tests/scenarios_http.rs
@@ -514,7 +514,7 @@
             NodeId(1),
             node::NodeAddress { name: "s-1".into(), address, state: NodeState::Ready },
         );
-        let until = tokio::time::Instant::now() + PATIENCE;
+        let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         let mut outcomes = Vec::new();
         for length in [32 << 20, 10, 0] {
             let (verb, payload) = (Operation::Write, Payload::Buffered(vec![0; length].into()));
@@ -597,7 +597,7 @@
                 queued.push(stream);
             }
         };
-        let permit = Rc::new(SendPermit::expiring_at(Instant::now() + PATIENCE));
+        let permit = Rc::new(SendPermit::expiring_at(Instant::now() + WAIT_TIMEOUT));
         let reply = tokio::select! {
             reply = nodes.send(NodeId(1), &envelope, &permit) => reply,
             () = accepting => unreachable!("it accepts for ever"),
--- a/tests/scenarios_leaving.rs
+++ b/tests/scenarios_leaving.rs
@@ -430,7 +430,7 @@
 
     /// Fails if requests were sent after the grace. From the drain on the head has that time, and whatever discovery's
     /// stand-in took to write to a call that was there.
-    fn verdict(&self, discovery: &Discovery, told: &Told, what: &str) -> Verdict {
+    fn verdict(&self, discovery: &Discovery, told: &PublishedUpdate, what: &str) -> Verdict {
         let held_up = Hindrance::of(self.head.pid()).since(&self.before);
         let standin_late = discovery.lateness(told);
         let after = self.node.arrivals().into_iter().map(|arrived| arrived.saturating_sub(told.at));
@@ -565,7 +565,7 @@
             for round in 0..4 {
                 std::thread::sleep(Duration::from_millis(137));
                 let watch = DrainWatch::start(&old, &head);
-                discovery.hush();
+                discovery.silence_open_calls();
                 let told = discovery.push(&[entry("s-1", old.address, 0, "draining")]);
                 std::thread::sleep(Duration::from_millis(500));
                 let verdict = watch.verdict(&discovery, &told, &format!("round {round}"));
--- a/tests/scenarios_uploads.rs
+++ b/tests/scenarios_uploads.rs
@@ -75,7 +75,7 @@
         }
         let mut stream = TcpStream::connect(http).expect("the head listens");
         stream.set_nodelay(true).expect("no delay");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         stream.write_all(request.as_bytes()).expect("written");
         Uploader { stream, id: id_of(&request), framing }
     }
@@ -283,7 +283,7 @@
     sleep(LEFT_BEFORE);
     give_node(&discovery, &recorder);
     let since = Instant::now();
-    while !recorder.began(&staying_id) && since.elapsed() < PATIENCE {
+    while !recorder.began(&staying_id) && since.elapsed() < WAIT_TIMEOUT {
         sleep(Duration::from_millis(2));
     }
     sleep(SETTLE);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -300,7 +300,7 @@
         let before = Hindrance::of(head.pid());
         let source = self.sources[self.current].clone();
         if stalls {
-            source.hush();
+            source.silence_open_calls();
         }
         let mut entries = vec![entry("s-0", self.nodes[0].address, 0, "draining")];
         if replaced {
@@ -433,7 +433,7 @@
     /// Descriptors of a head whose clients have left come back to what it began with, and a few connections to nodes.
     fn check_descriptors(&self, head: &Head, before: usize) {
         const OF_NODES_AND_SOURCE: usize = 20;
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while head.descriptors() > before + OF_NODES_AND_SOURCE {
             if Instant::now() > until {
                 self.ledger.broke(format!("{} descriptors, {before} at the start", head.descriptors()));
