--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small builder that drives a scheduler through its public interface.
+//! A harness that drives a scheduler through its public interface.
 #![allow(dead_code)]
 
 use flaxgap::Scheduler;
@@ -86,7 +86,7 @@
     }
 }
 
-/// A scheduler, its clock and how many sends each request had.
+/// A scheduler and its simulated clock, in seconds.
 pub struct Harness {
     pub scheduler: Scheduler,
     pub now: f64,
@@ -139,7 +139,7 @@
         }])
     }
 
-    /// Moves the clock on in steps of one tick, and collects all that is done meanwhile.
+    /// Advances the clock in steps of one tick and returns all actions of the scheduler.
     pub fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let end = self.now + seconds;
         let mut actions = Vec::new();
@@ -151,7 +151,7 @@
     }
 }
 
-/// The requests sent, in order.
+/// Ids of the requests sent, in order.
 pub fn sent(actions: &[Action]) -> Vec<u32> {
     let sends = actions.iter().filter_map(|a| match a {
         Action::Send { request, .. } => Some(request.0),
--- a/tests/peers/closed_port.rs
+++ b/tests/peers/closed_port.rs
@@ -1,9 +1,9 @@
-//! A port that stays closed: nobody else gets it as long as this is held.
+//! A reserved port that refuses connections; no other process can bind it while it is reserved.
 
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener};
 
-/// A port that is bound and does not listen, so that connections to it are refused.
+/// A bound socket that does not listen, so that connections to its port are refused.
 pub struct ClosedPort {
     socket: Socket,
     pub address: SocketAddr,
@@ -18,7 +18,7 @@
         ClosedPort { socket, address }
     }
 
-    /// Listens from now on.
+    /// Starts to listen on the reserved port.
     pub fn open(self) -> TcpListener {
         self.socket.listen(128).expect("it listens");
         self.socket.into()
--- a/tests/peers/frames.rs
+++ b/tests/peers/frames.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long an answer is waited for; a busy machine may be slow.
+/// Time limit for a response; generous because the machine may be busy.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Error codes (RFC 9113, section 7).
@@ -25,7 +25,7 @@
     pub const HTTP_1_1_REQUIRED: u32 = 13;
 }
 
-/// A frame as it came.
+/// A received frame.
 #[derive(Clone, Debug)]
 pub struct Frame {
     pub head: Head,
@@ -38,7 +38,7 @@
     }
 }
 
-/// A frame's bytes.
+/// Encodes a frame.
 pub fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let head = Head { length: payload.len() as u32, kind, flags, stream };
     [&head.write()[..], payload].concat()
@@ -144,7 +144,7 @@
 }
 
 impl Raw {
-    /// Connects and says nothing.
+    /// Connects without sending the preface.
     pub fn silent(address: SocketAddr) -> Raw {
         let stream = TcpStream::connect(address).expect("the head listens");
         stream.set_nodelay(true).expect("no delay");
--- a/tests/peers/initiator.rs
+++ b/tests/peers/initiator.rs
@@ -7,7 +7,7 @@
 pub const READ: u8 = 0x40;
 pub const WRITE: u8 = 0x20;
 
-/// A PDU as it lies on the wire.
+/// A PDU's header and data segment, undecoded.
 #[derive(Clone, Debug)]
 pub struct Raw {
     pub header: Vec<u8>,
@@ -32,7 +32,7 @@
     stream: TcpStream,
     pub command: u32,
     task: u32,
-    /// The last MaxCmdSN heard.
+    /// MaxCmdSN of the last PDU received.
     pub most: u32,
 }
 
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The stories' peers: scripted bricks, discovery, HTTP clients and initiators, round a real head process.
+//! Stand-ins for the peers of a real head process: scripted storage nodes, discovery, HTTP clients and iSCSI initiators.
 #![allow(dead_code)]
 
 pub mod closed_port;
@@ -17,10 +17,10 @@
 use std::time::{Duration, Instant};
 use timing::{StampedStream, WallTime, wall_time};
 
-/// Longest time that a story waits for anything; only failures take that long.
+/// Time limit of each wait in a test; reached only when the test fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One HTTP message as it came: the first line, the headers (names in lower case) and the body.
+/// A received HTTP/1.1 message: its start line, its headers (names in lower case) and its body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub line: String,
@@ -37,7 +37,7 @@
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Reads one; `None` where the connection ended before it was whole.
+    /// Reads a message; `None` if the connection ends before the message is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut message = Message::default();
         loop {
@@ -63,7 +63,7 @@
     }
 }
 
-/// A chunked body; extensions and trailers are left out.
+/// Reads a chunked body; discards chunk extensions and trailers.
 fn chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -83,24 +83,24 @@
     }
 }
 
-/// What a brick does with a request.
+/// A storage node's reaction to a request.
 pub enum Step {
     Serve(Vec<u8>),
-    /// A status, and whether it says that the request was not run.
+    /// Responds with a status and no body; `true` adds the header that marks the request as not processed.
     Status(u16, bool),
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     Break,
-    /// Closes it in the middle of the answer.
+    /// Closes the connection in the middle of the response.
     BreakMidway,
-    /// These bytes as they are; the connection stays open.
+    /// Writes these bytes verbatim and keeps the connection open.
     Raw(Vec<u8>),
-    /// These, then the others once the script's owner says so; the connection closes then.
+    /// Writes the first bytes, waits at the barrier, writes the other bytes and closes the connection.
     Held(Vec<u8>, Arc<std::sync::Barrier>, Vec<u8>),
-    /// These bytes as they are, then a reset.
+    /// Writes these bytes verbatim, then resets the connection.
     Reset(Vec<u8>),
-    /// Never answers, and says so when the connection is closed from the other side.
+    /// Never responds; counts the connection as closed once the peer closes it.
     Silent,
-    /// Does the rest once the time is over.
+    /// Performs the inner step after a delay.
     After(Duration, Box<Step>),
 }
 
@@ -109,7 +109,7 @@
 pub struct Brick {
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Message>>>,
-    /// When the system received the first bytes of each request.
+    /// Kernel receive time of the first bytes of each request.
     arrivals: Arc<Mutex<Vec<WallTime>>>,
     closed: Arc<AtomicU32>,
 }
@@ -163,7 +163,7 @@
                 }
                 Step::Reset(bytes) => {
                     let _ = out.write_all(&bytes);
-                    // What was written is to be read before the reset.
+                    // Gives the peer time to read the bytes before the reset discards them.
                     thread::sleep(Duration::from_millis(100));
                     socket2::SockRef::from(&out).set_linger(Some(Duration::ZERO)).expect("a linger of zero");
                     break;
@@ -189,65 +189,65 @@
         self.seen.lock().expect("seen").clone()
     }
 
-    /// When the system received each request.
+    /// Kernel receive times of the requests, in order of arrival.
     pub fn arrivals(&self) -> Vec<WallTime> {
         self.arrivals.lock().expect("arrivals").clone()
     }
 
-    /// Waits until that many requests were seen.
+    /// Waits until `count` requests have been received, and returns them.
     pub fn wait_for(&self, count: usize) -> Vec<Message> {
         wait(|| Some(self.seen()).filter(|seen| seen.len() >= count))
     }
 
-    /// Waits until that many connections have ended.
+    /// Waits until `count` connections have ended.
     pub fn wait_closed(&self, count: u32) {
         wait(|| (self.closed.load(Ordering::SeqCst) >= count).then_some(()));
     }
 }
 
-/// Waits until something holds.
+/// Polls `holds` until it returns a value; panics after [`WAIT_TIMEOUT`].
 pub fn wait<O>(mut holds: impl FnMut() -> Option<O>) -> O {
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(found) = holds() {
             return found;
         }
-        assert!(Instant::now() < end, "it never came to that");
+        assert!(Instant::now() < end, "condition not met within {WAIT_TIMEOUT:?}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// An entry of the node list.
+/// Formats a node's entry in the endpoint list.
 pub fn entry(uid: &str, address: SocketAddr, shard: u32, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":{shard},"state":"{state}","boot_ms":0}}"#
     )
 }
 
-/// A change that discovery has, from this moment on.
+/// An update that discovery publishes, with the time of publication.
 #[derive(Clone, Copy, Debug)]
 pub struct PublishedUpdate {
     pub at: WallTime,
     version: usize,
 }
 
-/// A call to discovery that it answers.
+/// A call that discovery responds to.
 #[derive(Clone, Copy, Debug)]
 struct LiveCall {
-    /// How often discovery had fallen silent before it.
+    /// How many times discovery had been silenced or cut off before the call.
     life: u32,
-    /// When the system received it.
+    /// Kernel receive time of the call.
     arrived: WallTime,
 }
 
-/// A list that was written to a call.
+/// An endpoint list written in response to a call.
 #[derive(Clone, Copy, Debug)]
 struct Delivery {
     version: usize,
     written: WallTime,
 }
 
-/// Discovery: a list, and changes pushed to every watch.
+/// A discovery service that serves an endpoint list and pushes updates to every watch.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
@@ -256,7 +256,7 @@
     lines: Arc<Mutex<Vec<String>>>,
     asked: Arc<Mutex<Vec<String>>>,
     mute: Arc<std::sync::atomic::AtomicBool>,
-    /// Whether it is cut off, and how often it was: what is open then never speaks again.
+    /// Whether discovery is cut off, and how many times it was; calls open at a cut never receive anything again.
     cut: Arc<(std::sync::atomic::AtomicBool, AtomicU32)>,
 }
 
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Has another whole list from the start, of the next version.
+    /// Publishes a new complete list, with the next version.
     pub fn replace(&self, entries: &[String]) -> PublishedUpdate {
         let mut lines = self.lines.lock().expect("lines");
         let rev = lines.len() + 1;
@@ -367,17 +367,17 @@
         PublishedUpdate { at: wall_time(), version: rev }
     }
 
-    /// The calls and watches so far, by their first lines.
+    /// Request lines of the calls and watches received so far.
     pub fn asked(&self) -> Vec<String> {
         self.asked.lock().expect("asked").clone()
     }
 
-    /// Has watches stay silent, or no longer.
+    /// Holds back all data on new watches until called with `false`.
     pub fn mute(&self, mute: bool) {
         self.mute.store(mute, Ordering::SeqCst);
     }
 
-    /// What is open falls silent for good; new calls are answered.
+    /// Silences the open calls for good; new calls are served.
     pub fn silence_open_calls(&self) {
         self.cut.1.fetch_add(1, Ordering::SeqCst);
     }
--- a/tests/peers/recorder.rs
+++ b/tests/peers/recorder.rs
@@ -1,4 +1,4 @@
-//! A node that notes when attempts reach it, whole or not.
+//! A storage node that records when attempts reach it, complete or not.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,12 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A node that notes when each attempt's first line reached it, by the request's id.
+/// A storage node that records when each attempt's request line was read, by request id.
 #[derive(Clone)]
 pub struct Recorder {
     pub address: SocketAddr,
     pub attempts: Arc<Mutex<HashMap<String, Vec<Instant>>>>,
-    /// Ids of the requests that came whole.
+    /// Ids of the requests that were received completely.
     complete: Arc<Mutex<HashSet<String>>>,
     slow: Duration,
     again: Duration,
@@ -80,12 +80,12 @@
         stream.write_all(answer.as_bytes()).ok()
     }
 
-    /// Whether an attempt of the request began.
+    /// Whether the request head of any attempt was received.
     pub fn began(&self, id: &str) -> bool {
         self.attempts.lock().expect("attempts").contains_key(id)
     }
 
-    /// Whether the request came whole.
+    /// Whether the request was received completely.
     pub fn is_complete(&self, id: &str) -> bool {
         self.complete.lock().expect("complete").contains(id)
     }
--- a/tests/peers/timing.rs
+++ b/tests/peers/timing.rs
@@ -9,20 +9,20 @@
 use std::os::fd::AsRawFd;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A moment on the clock by which the system stamps what it receives, since 1970.
+/// Time since the Unix epoch, on the clock of the kernel's receive timestamps.
 pub type WallTime = Duration;
 
-/// This moment.
+/// Returns the current time.
 pub fn wall_time() -> WallTime {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock past 1970")
 }
 
-/// Has the system stamp what arrives on connections to this listener, from before they are accepted.
+/// Enables kernel receive timestamps for connections to this listener, including data that arrives before accept.
 pub fn stamp_arrivals(listener: &TcpListener) {
     setsockopt(listener, sockopt::ReceiveTimestampns, &true).expect("SO_TIMESTAMPNS");
 }
 
-/// A connection that tells when the system received what was read first since it was last asked.
+/// A connection that records the kernel receive time of the first bytes read since the last [`Self::take_arrival`].
 pub struct StampedStream {
     stream: TcpStream,
     first_arrival: Option<WallTime>,
@@ -33,7 +33,7 @@
         StampedStream { stream, first_arrival: None }
     }
 
-    /// When the first bytes since the last call arrived; none where the system gave no stamp.
+    /// Receive time of the first bytes read since the last call; `None` if the kernel gave no timestamp.
     pub fn take_arrival(&mut self) -> Option<WallTime> {
         self.first_arrival.take()
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// What kept a process from running, up to a moment: the sum so far.
+/// Cumulative time for which a process was kept from running, at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Hindrance {
     /// How long its main thread was runnable and did not run.
@@ -67,7 +67,7 @@
 const TICK: Duration = Duration::from_millis(10);
 
 impl Hindrance {
-    /// Of a process, up to now.
+    /// Reads the process's totals from `/proc`.
     pub fn of(pid: u32) -> Hindrance {
         let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).expect("schedstat");
         let waited = text.split(' ').nth(1).and_then(|waited| waited.parse().ok()).expect("a wait");
@@ -77,7 +77,7 @@
         Hindrance { waited: Duration::from_nanos(waited), stolen: TICK * stolen.unwrap_or(0) }
     }
 
-    /// What came since an earlier moment, the larger of the two.
+    /// Growth since an earlier sample: the larger of run-queue wait and stolen time.
     pub fn since(&self, earlier: &Hindrance) -> Duration {
         let waited = self.waited.saturating_sub(earlier.waited);
         waited.max(self.stolen.saturating_sub(earlier.stolen))
