--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -58,8 +58,8 @@
 /// First and longest pause, s: of a lane whose node refused or dropped, and before a list call is repeated.
 const BACKOFF: (f64, f64) = (0.05, 1.0);
 const ASK: (f64, f64) = (0.5, 8.0);
-/// Part of its time that late work waits for its first send: later, a refusal costs more than it earns.
-const WAIT_TIMEOUT: f64 = 0.45;
+/// Fraction of its deadline that late work waits for its first send: later, a refusal costs more than it earns.
+const LATE_WAIT_FRACTION: f64 = 0.45;
 /// Seconds after which a volume's stores are full again, unless its limit takes longer.
 const MEMORY: f64 = 60.0;
 /// Multiples of the tightest aim that a request is waited for that shows whether a cut way is open again.
@@ -569,17 +569,18 @@
     }
 
     /// Answers at once a repeat past its window, and work that its volume's limit lets pass neither before it
-    /// is late nor, being late, within `WAIT_TIMEOUT` of its time.
+    /// is late nor, being late, within `LATE_WAIT_FRACTION` of its time.
     fn give_up(&mut self, actions: &mut Vec<Action>) {
         // Exception: with half the clients' connections waiting, late work waits no more; others need them.
-        let patience = if self.held.len() > self.set.max_pending / 2 { 0.0 } else { WAIT_TIMEOUT };
+        let wait_fraction = if self.held.len() > self.set.max_pending / 2 { 0.0 } else { LATE_WAIT_FRACTION };
         let queued: Vec<RequestId> = self.held.iter().filter(|(_, h)| h.queued).map(|(id, _)| *id).collect();
         for id in queued {
             let (held, now) = (&self.held[&id], self.now);
             let (class, first, taken) = (held.ask.class.0, held.attempts.is_empty(), held.taken());
             let ends = held.window_end(self.set.classes[class].idempotency);
             let late_at = held.aim_at - self.lanes[&held.lane].latency[class];
-            let last = held.arrived + if first { patience } else { 1.0 } * (held.deadline - held.arrived);
+            let last =
+                held.arrived + if first { wait_fraction } else { 1.0 } * (held.deadline - held.arrived);
             let next = if late_at > now { late_at } else { last };
             self.blocked_until = self.blocked_until.min(if first { next.min(ends) } else { ends });
             let in_time = late_at > now && now + self.limit_in(id, false) <= late_at;
