--- a/tests/peers/initiator.rs
+++ b/tests/peers/initiator.rs
@@ -1,13 +1,13 @@
 //! A stand-in iSCSI initiator, written from the standard and not from the target's code.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
 pub const READ: u8 = 0x40;
 pub const WRITE: u8 = 0x20;
 
-/// A PDU as it lies on the wire.
+/// A PDU's header and data segment, undecoded.
 #[derive(Clone, Debug)]
 pub struct Raw {
     pub header: Vec<u8>,
@@ -32,14 +32,14 @@
     stream: TcpStream,
     pub command: u32,
     task: u32,
-    /// The last MaxCmdSN heard.
+    /// MaxCmdSN of the last PDU received.
     pub most: u32,
 }
 
 impl Initiator {
     pub fn connect(address: SocketAddr) -> Initiator {
         let stream = TcpStream::connect(address).expect("the target listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
         Initiator { stream, command: 1, task: 0, most: 0 }
     }
