--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -97,7 +97,7 @@
                 sleep(ACCEPT_PAUSE).await;
             }
             Err(error) => {
-                log::error!("http: accept: {error}; what waits is reset");
+                log::error!("http: accept: {error}; queued connections are reset");
                 break;
             }
         }
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -26,10 +26,10 @@
 impl Display for BackgroundTask {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            BackgroundTask::SchedulerClock => "the clock",
-            BackgroundTask::LoadShedding => "the levels",
-            BackgroundTask::ConnectionPools => "the pools",
-            BackgroundTask::EndpointList => "the node list",
+            BackgroundTask::SchedulerClock => "scheduler timers",
+            BackgroundTask::LoadShedding => "load shedding",
+            BackgroundTask::ConnectionPools => "connection pools",
+            BackgroundTask::EndpointList => "endpoint list",
         })
     }
 }
@@ -41,7 +41,7 @@
     #[error("listen on {0}: {1}")]
     Listen(SocketAddr, #[source] io::Error),
     /// A background task ended before the process did.
-    #[error("{0} broke down")]
+    #[error("background task ended unexpectedly: {0}")]
     TaskEnded(BackgroundTask),
     /// A signal handler can't be installed.
     #[error("installing signal handlers: {0}")]
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -107,7 +107,7 @@
                 return Vec::new();
             }
             Err(Elapsed { .. }) => {
-                log::warn!("handover: the older process is mute");
+                log::warn!("handover: the older process does not respond");
                 Vec::new()
             }
         };
@@ -218,7 +218,7 @@
         match timeout(PASSING_TIMEOUT, send_sockets(&newer.stream, &sockets)).await {
             Ok(Ok(())) => self.handle_messages(newer).await,
             Ok(Err(error)) => log::warn!("handover: passing sockets to the newer process: {error}"),
-            Err(Elapsed { .. }) => log::warn!("handover: the newer process is mute"),
+            Err(Elapsed { .. }) => log::warn!("handover: the newer process does not respond"),
         }
         log::info!("handover: the newer process has ended");
         self.update(|others| others.newer = NewerProcess::Absent);
--- a/tests/scenarios_operators.rs
+++ b/tests/scenarios_operators.rs
@@ -156,7 +156,7 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let mute = std::os::unix::net::UnixListener::bind(folder.join("flaxgap-n0.sock")).expect("a socket");
     let head = Head::start(&discovery, None, &[("TMPDIR", folder.to_str().expect("a path"))]);
-    wait(|| head.logged("the older process is mute"));
+    wait(|| head.logged("the older process does not respond"));
     drop(mute);
     wait(|| head.logged("this process has 1 of the head's share"));
     let next = Head::start(&discovery, None, &[("TMPDIR", folder.to_str().expect("a path"))]);
