--- a/src/frontend/block/config.rs
+++ b/src/frontend/block/config.rs
@@ -1,4 +1,5 @@
-//! `deploy/block.toml`: where the block front listens, and which volumes its logical units show.
+//! Configuration of the block frontend (`deploy/block.toml`): the listening address, and the volumes that are exported
+//! as logical units.
 
 use crate::config::WireSettings;
 use crate::scheduler::{ClassId, ExtentId, PlanId, SchedulerSettings, ShardId, VolumeId};
@@ -6,24 +7,24 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Longest body that a node takes or gives.
-const LONGEST_TRANSFER: u64 = 64 * 1024;
+/// Largest request or response body that a node supports, in bytes.
+const MAX_TRANSFER_BYTES: u64 = 64 * 1024;
 
-/// A block file that can't be served.
+/// An error in the configuration file of the block frontend.
 #[derive(Debug, Error)]
 pub enum BlockConfigError {
-    /// The file can't be read.
+    /// The file can't be read; holds its path.
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
-    /// It is no TOML of the form expected.
+    /// The text is not TOML of the expected structure.
     #[error("block file: {0}")]
     Malformed(#[from] toml::de::Error),
-    /// A value that can't be served.
+    /// A field has an unsupported value; holds the field's name and the problem.
     #[error("block file: {0}: {1}")]
     Field(&'static str, String),
 }
 
-/// A number written as 16 hex digits, as on the platform's wire.
+/// A number written in hexadecimal, as in the request paths of storage nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Hex(u64);
 
@@ -65,44 +66,44 @@
     shard: u32,
 }
 
-/// The target: one portal with its logical units.
+/// Configuration of the iSCSI target: one portal and its logical units.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Where it listens.
+    /// Listening address of the portal.
     pub listen: SocketAddr,
-    /// Its iSCSI name.
+    /// iSCSI name of the target.
     pub name: String,
-    /// Bytes of a logical block.
+    /// Size of a logical block, in bytes.
     pub block_size: u32,
-    /// Bytes that count as one unit.
+    /// Bytes per unit of request cost.
     pub unit_bytes: u64,
-    /// Commands that a session may have in hand.
+    /// Maximum number of outstanding commands per session.
     pub queue_depth: u32,
-    /// Sessions at once.
+    /// Maximum number of open sessions.
     pub max_sessions: usize,
-    /// The logical units, by number.
+    /// Logical units, in ascending order of their numbers.
     pub luns: Vec<Lun>,
-    /// The class of reads, and of writes, with their deadlines in seconds.
+    /// Classes of reads (index 0) and writes (index 1): identifier, name and deadline in seconds.
     pub classes: [(ClassId, String, f64); 2],
-    most_units: f64,
+    max_request_units: f64,
 }
 
-/// One logical unit.
+/// A logical unit, backed by one volume.
 #[derive(Clone, Debug)]
 pub struct Lun {
-    /// Its number.
+    /// Logical unit number.
     pub lun: u16,
-    /// The volume it shows.
+    /// The volume that backs the unit.
     pub volume: VolumeId,
-    /// The volume's plan.
+    /// Plan of the volume.
     pub plan: PlanId,
-    /// Hosts that the volume's requests come through.
+    /// Number of heads that receive requests for the volume; at least 1.
     pub hosts: u32,
     extent_blocks: u64,
     runs: Vec<Run>,
 }
 
-/// Extents with consecutive numbers in one shard.
+/// A run of consecutively numbered extents in one shard.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     first: u64,
@@ -110,45 +111,45 @@
     shard: ShardId,
 }
 
-/// Where the blocks of one command lie: a span of one extent.
+/// The byte range of one extent that a command reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
-    /// The extent.
+pub struct BlockRange {
+    /// Extent that holds the blocks.
     pub extent: ExtentId,
-    /// The shard that holds it.
+    /// Shard that holds the extent.
     pub shard: ShardId,
-    /// The first byte in it.
+    /// Offset of the first byte within the extent.
     pub offset: u64,
-    /// Bytes.
+    /// Length in bytes.
     pub length: usize,
-    /// What the command counts.
+    /// Cost of the command, in units.
     pub units: f64,
 }
 
 impl Target {
-    /// Reads the file; the settings give plans, classes and the largest request.
+    /// Reads and parses the file at `path`. Plans, classes and the largest request size come from the other settings.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or its text can't be used, as for [`Target::parse`].
+    /// Returns an error if the file can't be read or [`Target::parse`] fails.
     pub fn load(
         path: &str,
-        set: &SchedulerSettings,
-        notes: &WireSettings,
+        scheduler: &SchedulerSettings,
+        wire: &WireSettings,
     ) -> Result<Target, BlockConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| BlockConfigError::Unreadable(path.into(), e))?;
-        Target::parse(&text, set, notes)
+        Target::parse(&text, scheduler, wire)
     }
 
-    /// Reads the file's text.
+    /// Parses and validates the text of the configuration file.
     ///
     /// # Errors
     ///
-    /// The text is not TOML of the expected form, or a field has a value that can't be served.
+    /// Returns an error if the text is not TOML of the expected structure or a field has an unsupported value.
     pub fn parse(
         text: &str,
-        set: &SchedulerSettings,
-        notes: &WireSettings,
+        scheduler: &SchedulerSettings,
+        wire: &WireSettings,
     ) -> Result<Target, BlockConfigError> {
         let file: File = toml::from_str(text)?;
         let bad = |field, problem: &str| Err(BlockConfigError::Field(field, problem.into()));
@@ -165,15 +166,15 @@
             return bad("target", "must be an iqn. name of at most 223 bytes");
         }
         let class = |writes: bool| {
-            let place = notes.class_writes.iter().position(|w| *w == writes);
-            place.map(|i| (ClassId(i), notes.class_names[i].clone(), set.classes[i].deadline_s))
+            let index = wire.class_writes.iter().position(|w| *w == writes);
+            index.map(|i| (ClassId(i), wire.class_names[i].clone(), scheduler.classes[i].deadline_s))
         };
         let (Some(reads), Some(writes)) = (class(false), class(true)) else {
             return bad("settings", "no class for reads or none for writes");
         };
         let mut luns = Vec::new();
         for entry in file.lun {
-            let Some(plan) = notes.plan_names.iter().position(|name| *name == entry.plan) else {
+            let Some(plan) = wire.plan_names.iter().position(|name| *name == entry.plan) else {
                 return bad("lun.plan", &format!("{:?} is no plan of the settings", entry.plan));
             };
             if entry.lun >= 0x4000 || luns.iter().any(|l: &Lun| l.lun == entry.lun) {
@@ -211,32 +212,34 @@
             max_sessions: file.max_sessions,
             luns,
             classes: [reads, writes],
-            most_units: set.max_request_units,
+            max_request_units: scheduler.max_request_units,
         })
     }
 
-    /// A logical unit by its number.
+    /// Returns the logical unit with this number.
     pub fn lun(&self, number: u16) -> Option<&Lun> {
         self.luns.iter().find(|lun| lun.lun == number)
     }
 
-    /// Most blocks that one command may carry: no more than an extent, a body or the largest request.
-    pub fn most_blocks(&self, lun: &Lun) -> u64 {
-        let by_units = (self.most_units.max(1.0) as u64).saturating_mul(self.unit_bytes);
-        lun.extent_blocks.min(LONGEST_TRANSFER.min(by_units) / u64::from(self.block_size)).max(1)
+    /// Returns the maximum number of blocks per command, which an extent, the largest body of a node and the largest
+    /// request size limit; at least 1.
+    pub fn max_blocks_per_command(&self, lun: &Lun) -> u64 {
+        let by_units = (self.max_request_units.max(1.0) as u64).saturating_mul(self.unit_bytes);
+        lun.extent_blocks.min(MAX_TRANSFER_BYTES.min(by_units) / u64::from(self.block_size)).max(1)
     }
 }
 
 impl Lun {
-    /// Blocks in all.
+    /// Returns the capacity in blocks.
     pub fn blocks(&self) -> u64 {
         self.runs.iter().map(|run| run.count).sum::<u64>() * self.extent_blocks
     }
 
-    /// Where `count` blocks from `lba` on lie, if in one extent and no more than one command may carry.
-    pub fn place(&self, target: &Target, lba: u64, count: u64) -> Option<Place> {
+    /// Returns the location of `count` blocks from `lba` on, or `None` if they cross the end of an extent, lie past the
+    /// last one or exceed the maximum of one command.
+    pub fn locate(&self, target: &Target, lba: u64, count: u64) -> Option<BlockRange> {
         let within = lba % self.extent_blocks;
-        if count > target.most_blocks(self) || within + count > self.extent_blocks {
+        if count > target.max_blocks_per_command(self) || within + count > self.extent_blocks {
             return None;
         }
         let mut number = lba / self.extent_blocks;
@@ -249,7 +252,7 @@
         })?;
         let size = u64::from(target.block_size);
         let length = count * size;
-        Some(Place {
+        Some(BlockRange {
             extent: ExtentId(run.first + number),
             shard: run.shard,
             offset: within * size,
--- a/src/frontend/block/connection.rs
+++ b/src/frontend/block/connection.rs
@@ -1,8 +1,8 @@
-//! One iSCSI connection: whole PDUs in and out, the status numbers of responses and the command window
+//! An iSCSI connection: reads and writes PDUs, assigns status sequence numbers and keeps the command window
 //! (RFC 7143, section 4.2.2).
 
 use super::error::SessionError;
-use super::pdu::{BHS, Codec, LONGEST_SEGMENT, NO_TAG, Pdu, response};
+use super::pdu::{Codec, HEADER_LENGTH, MAX_DATA_SEGMENT, NO_TAG, Pdu, response};
 use crate::frontend::closing::SharedStream;
 use bytes::BytesMut;
 use std::net::SocketAddr;
@@ -12,39 +12,39 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long an initiator may leave what is sent to it unread.
+/// Time limit for writing a batch of PDUs to an initiator that reads slowly.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Room made for what is read at a time: most PDUs without data fit many times.
+/// Bytes reserved before each read; holds many PDUs without a data segment.
 const READ_BUFFER: usize = 4096;
 
-/// Reasons of a Reject (RFC 7143, section 11.17.1).
+/// Reason codes of the Reject PDU (RFC 7143, section 11.17.1).
 pub mod reject_reason {
-    /// The data's digest is wrong.
+    /// Data digest error.
     pub const DATA_DIGEST: u8 = 0x02;
-    /// SNACK is not supported.
+    /// SNACK Reject: SNACK requests are not supported.
     pub const SNACK: u8 = 0x03;
-    /// The PDU has no place here.
+    /// Protocol error.
     pub const PROTOCOL: u8 = 0x04;
-    /// The command is not supported.
+    /// Command not supported.
     pub const NOT_SUPPORTED: u8 = 0x05;
-    /// The task tag is in use.
+    /// Task in progress: the initiator task tag is already in use.
     pub const TASK_IN_PROGRESS: u8 = 0x07;
-    /// A field is invalid.
+    /// Invalid PDU field.
     pub const INVALID_FIELD: u8 = 0x09;
 }
 
-/// Where a numbered PDU stands in the command window.
+/// Position of a received CmdSN relative to the command window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOrder {
-    /// The one that is expected; the next is expected from now on.
+    /// Equal to ExpCmdSN, which has been advanced.
     Next,
-    /// In the window, but not the next: a number is missing.
+    /// Inside the window but past ExpCmdSN: a command is missing.
     Gap,
-    /// Outside the window: to be ignored.
+    /// Outside the window; the PDU must be ignored.
     Outside,
 }
 
-/// A connection with its numbering.
+/// An iSCSI connection with its sequence numbers and digest settings.
 pub struct Connection {
     stream: SharedStream,
     codec: Codec,
@@ -55,9 +55,9 @@
 }
 
 impl Connection {
-    /// A connection at its start.
+    /// Creates a connection in its initial state: no digests, and sequence numbers not yet set by a login.
     pub fn new(stream: Rc<TcpStream>) -> Connection {
-        let codec = Codec { header_digest: false, data_digest: false, longest: LONGEST_SEGMENT };
+        let codec = Codec { header_digest: false, data_digest: false, max_data_segment: MAX_DATA_SEGMENT };
         Connection {
             stream: SharedStream(stream),
             codec,
@@ -68,20 +68,20 @@
         }
     }
 
-    /// The address that the initiator connected to.
+    /// Returns the local address that the initiator connected to.
     ///
     /// # Errors
     ///
-    /// The socket can't tell its address.
+    /// Returns an error if the operating system does not report the socket's address.
     pub fn local_addr(&self) -> std::io::Result<SocketAddr> {
         self.stream.0.local_addr()
     }
 
-    /// The next PDU. May be dropped and called again without loss.
+    /// Reads the next PDU. Cancel safe: bytes received so far stay in the buffer.
     ///
     /// # Errors
     ///
-    /// The initiator closed the connection, it broke, or what came is not a valid PDU.
+    /// Returns an error if the initiator closed the connection, the connection failed or a PDU is invalid.
     pub async fn read(&mut self) -> Result<Pdu, SessionError> {
         loop {
             if let Some(pdu) = self.codec.decode(&mut self.incoming)? {
@@ -94,30 +94,31 @@
         }
     }
 
-    /// Takes the numbers of the first login request: the first command bears the same one.
+    /// Initializes CmdSN and StatSN from the first login request. Login requests are immediate, so the first command
+    /// of the full feature phase has the same CmdSN.
     pub fn start_numbering(&mut self, login: &Pdu) {
-        self.exp_cmd_sn = login.at(24);
+        self.exp_cmd_sn = login.u32_at(24);
         self.max_cmd_sn = self.exp_cmd_sn;
-        self.stat_sn = login.at(28).max(1);
+        self.stat_sn = login.u32_at(28).max(1);
     }
 
-    /// Sets the digests agreed, from the full feature phase on.
+    /// Enables the negotiated digests; they apply from the full feature phase on.
     pub fn set_digests(&mut self, header_digest: bool, data_digest: bool) {
         (self.codec.header_digest, self.codec.data_digest) = (header_digest, data_digest);
     }
 
-    /// Opens the command window to so many commands.
+    /// Sets the size of the command window, counted from ExpCmdSN.
     pub fn set_window(&mut self, commands: u32) {
         self.max_cmd_sn = self.exp_cmd_sn.wrapping_add(commands).wrapping_sub(1);
     }
 
-    /// Opens the command window by one.
+    /// Extends the command window by one command.
     pub fn widen_window(&mut self) {
         self.max_cmd_sn = self.max_cmd_sn.wrapping_add(1);
     }
 
-    /// Takes the number of a command.
-    pub fn take_command_number(&mut self, number: u32) -> CommandOrder {
+    /// Compares the CmdSN of a received PDU with the command window and advances ExpCmdSN if both are equal.
+    pub fn accept_command_number(&mut self, number: u32) -> CommandOrder {
         let window = self.max_cmd_sn.wrapping_sub(self.exp_cmd_sn).wrapping_add(1);
         if number.wrapping_sub(self.exp_cmd_sn) >= window {
             return CommandOrder::Outside;
@@ -129,55 +130,55 @@
         CommandOrder::Next
     }
 
-    /// Sends a PDU that bears a status number and takes it.
+    /// Sends a PDU with the next StatSN and advances StatSN.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the initiator did not read in time.
+    /// Returns an error if the connection failed or the initiator did not read within the time limit.
     pub async fn respond(&mut self, pdu: Pdu) -> Result<(), SessionError> {
         self.respond_after(Vec::new(), pdu).await
     }
 
-    /// Sends the data of a read, then the response that bears a status number and takes it.
+    /// Sends the Data-In PDUs of a read, then its response with the next StatSN, and advances StatSN.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the initiator did not read in time.
+    /// Returns an error if the connection failed or the initiator did not read within the time limit.
     pub async fn respond_after(&mut self, mut data: Vec<Pdu>, pdu: Pdu) -> Result<(), SessionError> {
-        data.push(pdu.with(24, self.stat_sn));
+        data.push(pdu.with_u32(24, self.stat_sn));
         self.stat_sn = self.stat_sn.wrapping_add(1);
         self.write(&data).await
     }
 
-    /// Sends a PDU that bears the next status number without taking it (R2T, and a NOP-In that asks for an answer).
+    /// Sends a PDU that carries the next StatSN without advancing it (R2T, and a NOP-In that requests a reply).
     ///
     /// # Errors
     ///
-    /// The connection broke, or the initiator did not read in time.
+    /// Returns an error if the connection failed or the initiator did not read within the time limit.
     pub async fn send_unnumbered(&mut self, pdu: Pdu) -> Result<(), SessionError> {
-        let pdu = pdu.with(24, self.stat_sn);
+        let pdu = pdu.with_u32(24, self.stat_sn);
         self.write(&[pdu]).await
     }
 
-    /// Rejects a PDU, whose header goes back.
+    /// Sends a Reject PDU that returns the header of the rejected one.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the initiator did not read in time.
-    pub async fn reject(&mut self, why: u8, header: &[u8; BHS]) -> Result<(), SessionError> {
+    /// Returns an error if the connection failed or the initiator did not read within the time limit.
+    pub async fn reject(&mut self, reason: u8, header: &[u8; HEADER_LENGTH]) -> Result<(), SessionError> {
         let mut pdu = Pdu::new(response::REJECT, 0x80, NO_TAG).with_data(header.to_vec());
-        pdu.header[2] = why;
+        pdu.header[2] = reason;
         self.respond(pdu).await
     }
 
-    /// Sends PDUs with the command window of this moment.
+    /// Writes PDUs with the current ExpCmdSN and MaxCmdSN.
     async fn write(&mut self, pdus: &[Pdu]) -> Result<(), SessionError> {
         let mut out = BytesMut::new();
         for pdu in pdus {
-            let pdu = pdu.clone().with(28, self.exp_cmd_sn).with(32, self.max_cmd_sn);
+            let pdu = pdu.clone().with_u32(28, self.exp_cmd_sn).with_u32(32, self.max_cmd_sn);
             self.codec.encode(&pdu, &mut out);
         }
-        timeout(WRITE_TIMEOUT, self.stream.write_all(&out)).await.map_err(|_| SessionError::Silent)??;
+        timeout(WRITE_TIMEOUT, self.stream.write_all(&out)).await.map_err(|_| SessionError::Timeout)??;
         Ok(())
     }
 }
--- a/src/frontend/block/error.rs
+++ b/src/frontend/block/error.rs
@@ -1,27 +1,27 @@
-//! Why a session ends, whether in its login or afterwards.
+//! Errors that end an iSCSI session, during login or in the full feature phase.
 
 use super::pdu::PduError;
 use thiserror::Error;
 
-/// Why a session ended.
+/// The reason why an iSCSI session ended.
 #[derive(Debug, Error)]
 pub enum SessionError {
-    /// The connection broke or was closed.
+    /// An I/O error on the connection.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
-    /// The initiator closed it.
+    /// The initiator closed the connection.
     #[error("closed by the initiator")]
     Closed,
-    /// Bytes that are no PDU.
+    /// A received PDU could not be decoded.
     #[error("PDU: {0}")]
     Pdu(#[from] PduError),
-    /// A PDU that has no place here.
+    /// The initiator violated the protocol, or its session was replaced by a new login.
     #[error("protocol error: {0}")]
     Protocol(&'static str),
-    /// The login was turned down.
-    #[error("login turned down with status {0:#06x}")]
+    /// The login was rejected with this status class and detail.
+    #[error("login rejected with status {0:#06x}")]
     Login(u16),
-    /// Nothing came, or nothing was read, in time.
-    #[error("silent")]
-    Silent,
+    /// The initiator sent nothing, did not complete its login or did not read within the time limit.
+    #[error("initiator timed out")]
+    Timeout,
 }
--- a/src/frontend/block/listener.rs
+++ b/src/frontend/block/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts initiators and serves each connection to its end.
+//! Accepts connections of iSCSI initiators and serves each in a local task.
 
 use super::session;
 use super::shared::BlockFrontend;
@@ -8,11 +8,12 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Pause after the system would not give a connection.
+/// Delay before the next `accept` after a failed one.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 impl<T: Transport + 'static> BlockFrontend<T> {
-    /// Accepts initiators for as long as it is polled.
+    /// Accepts connections in a loop that never returns. After a failed `accept` the longest idle connection is
+    /// closed, since the process may have run out of descriptors.
     pub async fn listen(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             let slot = self.budget.client_slot().await;
@@ -25,11 +26,11 @@
                     continue;
                 }
             };
-            let (front, guard) = (self.clone(), self.phases.track_connection());
+            let (frontend, guard) = (self.clone(), self.phases.track_connection());
             tokio::task::spawn_local(async move {
-                let _held = (slot, guard);
-                let (stream, counters) = (Rc::new(stream), front.counters.clone());
-                if let Err(problem) = session::serve(front, stream.clone()).await {
+                let _guards = (slot, guard);
+                let (stream, counters) = (Rc::new(stream), frontend.counters.clone());
+                if let Err(problem) = session::serve(frontend, stream.clone()).await {
                     log::debug!("block: {problem}");
                 }
                 closing::close(&stream, CloseReason::Done, std::future::pending(), &counters).await;
--- a/src/frontend/block/login.rs
+++ b/src/frontend/block/login.rs
@@ -1,71 +1,71 @@
-//! The login phase (RFC 7143, sections 6 and 11.12): stages, keys and what they come to.
+//! The login phase (RFC 7143, sections 6 and 11.12): stages and negotiation of text keys.
 
 use super::config::Target;
 use super::connection::Connection;
 use super::error::SessionError;
-use super::pdu::{LONGEST_SEGMENT, Pdu, request, response};
+use super::pdu::{MAX_DATA_SEGMENT, Pdu, request, response};
 use bytes::{BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 
-/// Longest text that a login may add up to.
-const LONGEST_TEXT: usize = 16 * 1024;
-/// Most requests that a login may take.
-const MOST_REQUESTS: usize = 32;
-/// Stages, after security negotiation (0).
+/// Largest text that consecutive login requests may add up to, in bytes.
+const MAX_TEXT_BYTES: usize = 16 * 1024;
+/// Maximum number of requests per login.
+const MAX_REQUESTS: usize = 32;
+/// Login stages that follow security negotiation (stage 0).
 const OPERATIONAL: u8 = 1;
 const FULL_FEATURE: u8 = 3;
 
-/// Whether a login status means failure: class and detail.
+/// Status codes of a failed login: class in the high byte, detail in the low byte.
 pub mod status {
     /// Initiator error.
     pub const INITIATOR_ERROR: u16 = 0x0200;
-    /// Authentication failure: no method in common.
+    /// Authentication failure: the initiator offers no supported method.
     pub const AUTHENTICATION: u16 = 0x0201;
-    /// The target is not known here.
+    /// Target not found.
     pub const NOT_FOUND: u16 = 0x0203;
-    /// The version is not supported.
+    /// Unsupported version.
     pub const VERSION: u16 = 0x0205;
     /// Too many connections in the session.
     pub const TOO_MANY_CONNECTIONS: u16 = 0x0206;
-    /// A key that must be there is missing.
+    /// A required key is missing.
     pub const MISSING_PARAMETER: u16 = 0x0207;
-    /// The kind of session is not supported.
+    /// Unsupported session type.
     pub const SESSION_TYPE: u16 = 0x0209;
     /// Out of resources; try again later.
     pub const OUT_OF_RESOURCES: u16 = 0x0302;
 }
 
-/// What a session is for (RFC 7143, section 13.21).
+/// Session type (RFC 7143, section 13.21).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionType {
-    /// Commands to the logical units.
+    /// A session that accepts SCSI commands.
     Normal,
-    /// Finding targets: no SCSI commands.
+    /// A session for finding targets; it accepts no SCSI commands.
     Discovery,
 }
 
-/// What a login came to.
+/// The negotiated parameters of a session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Params {
-    /// The initiator's name.
+    /// The initiator's iSCSI name.
     pub initiator: String,
-    /// Its part of the session's identifier.
+    /// Initiator part of the session identifier (ISID).
     pub isid: [u8; 6],
-    /// What the session is for.
+    /// Session type.
     pub session_type: SessionType,
-    /// CRC32C over headers.
+    /// Whether headers are followed by a CRC32C.
     pub header_digest: bool,
-    /// CRC32C over data.
+    /// Whether data segments are followed by a CRC32C.
     pub data_digest: bool,
-    /// Longest data segment that the initiator takes.
-    pub longest_out: usize,
-    /// Most data of one sequence.
+    /// Largest data segment that the initiator accepts, in bytes.
+    pub max_send_data_segment: usize,
+    /// MaxBurstLength: maximum data of one sequence, in bytes.
     pub max_burst: usize,
-    /// Most unsolicited data of one command.
+    /// FirstBurstLength: maximum unsolicited data of one command, in bytes.
     pub first_burst: usize,
-    /// Whether commands may carry data.
+    /// ImmediateData: whether SCSI Command PDUs may carry write data.
     pub immediate_data: bool,
-    /// RFC 7144: from level 2 on, responses carry the status qualifier.
+    /// iSCSIProtocolLevel (RFC 7144): from level 2 on, responses carry the status qualifier.
     pub protocol_level: u32,
 }
 
@@ -77,7 +77,7 @@
             session_type: SessionType::Normal,
             header_digest: false,
             data_digest: false,
-            longest_out: 8192,
+            max_send_data_segment: 8192,
             max_burst: 262_144,
             first_burst: 65_536,
             immediate_data: true,
@@ -86,7 +86,7 @@
     }
 }
 
-/// The pairs of a text data segment; `None` if it is not of the form `key=value`, each closed by a zero.
+/// Parses a text data segment of NUL-terminated `key=value` pairs; returns `None` if it is malformed.
 pub fn pairs(text: &[u8]) -> Option<Vec<(String, String)>> {
     let parts = text.split(|b| *b == 0).filter(|part| !part.is_empty());
     parts
@@ -97,7 +97,7 @@
         .collect()
 }
 
-/// The text of pairs.
+/// Encodes pairs as a text data segment.
 pub fn text(pairs: &[(String, String)]) -> Bytes {
     let mut out = BytesMut::new();
     for (key, value) in pairs {
@@ -107,7 +107,8 @@
 }
 
 impl Params {
-    /// Takes in one key of the initiator; the answer to it, if it is one that is answered.
+    /// Applies one key of the initiator and returns the value to answer with, or `None` for keys that are declared
+    /// without an answer. Returns the login status if the value makes the login fail.
     fn negotiate(&mut self, key: &str, value: &str, target: &Target) -> Result<Option<String>, u16> {
         let number = value
             .parse::<u64>()
@@ -116,7 +117,7 @@
         let ranged = |low: u64, high: u64| number.filter(|n| (low..=high).contains(n));
         let reject = || Ok(Some("Reject".to_string()));
         let digest = |on: &mut bool| {
-            // The first of the initiator's list that is known here.
+            // The first supported value of the initiator's list.
             let chosen = value.split(',').find(|v| matches!(*v, "None" | "CRC32C"));
             *on = chosen == Some("CRC32C");
             Ok(Some(chosen.unwrap_or("Reject").to_string()))
@@ -139,21 +140,21 @@
             "HeaderDigest" => return digest(&mut self.header_digest),
             "DataDigest" => return digest(&mut self.data_digest),
             "MaxRecvDataSegmentLength" => match ranged(512, (1 << 24) - 1) {
-                Some(longest) => self.longest_out = longest as usize,
+                Some(longest) => self.max_send_data_segment = longest as usize,
                 None => return Err(status::INITIATOR_ERROR),
             },
             "MaxBurstLength" | "FirstBurstLength" => {
                 let Some(offered) = ranged(512, (1 << 24) - 1) else { return reject() };
                 let first = key == "FirstBurstLength";
-                let mine = if first { &mut self.first_burst } else { &mut self.max_burst };
-                *mine = (*mine).min(offered as usize);
-                return Ok(Some(mine.to_string()));
+                let agreed = if first { &mut self.first_burst } else { &mut self.max_burst };
+                *agreed = (*agreed).min(offered as usize);
+                return Ok(Some(agreed.to_string()));
             }
             "ImmediateData" if boolean => {
                 self.immediate_data = value == "Yes";
                 return Ok(Some(value.into()));
             }
-            // Results fixed on this side: these are OR functions, and one Yes is enough.
+            // The result function of these keys is OR, so the target's Yes decides.
             "InitialR2T" | "DataPDUInOrder" | "DataSequenceInOrder" if boolean => {
                 return Ok(Some("Yes".into()));
             }
@@ -187,39 +188,44 @@
     }
 }
 
-/// What a login request asks for: its stage, and where to go from it.
-struct Step {
+/// The stage fields of a login request: transit and continue flags, current and next stage.
+struct StageRequest {
     transit: bool,
     more: bool,
     stage: u8,
     next: u8,
 }
 
-impl Step {
-    fn of(request: &Pdu) -> Step {
+impl StageRequest {
+    fn of(request: &Pdu) -> StageRequest {
         let flags = request.flags();
-        Step { transit: flags & 0x80 != 0, more: flags & 0x40 != 0, stage: flags >> 2 & 3, next: flags & 3 }
+        StageRequest {
+            transit: flags & 0x80 != 0,
+            more: flags & 0x40 != 0,
+            stage: flags >> 2 & 3,
+            next: flags & 3,
+        }
     }
 }
 
-/// A login under way.
+/// State of a login in progress.
 struct Login {
     params: Params,
     seen: BTreeMap<String, String>,
     stage: Option<u8>,
-    declared: bool,
+    segment_size_declared: bool,
 }
 
 impl Login {
-    /// The status that a request fails with by its header alone.
-    fn problem(&self, request: &Pdu) -> Option<u16> {
-        let Step { transit, more, stage, next } = Step::of(request);
+    /// Checks the header of a login request; returns the status to fail the login with, if it is invalid.
+    fn header_error(&self, request: &Pdu) -> Option<u16> {
+        let StageRequest { transit, more, stage, next } = StageRequest::of(request);
         let lowest_version = request.header[3];
         if lowest_version > 0 {
             return Some(status::VERSION);
         }
         if request.header[14..16] != [0, 0] {
-            // A second connection of a session, which MaxConnections=1 leaves no room for.
+            // The TSIH of an existing session: a second connection, which MaxConnections=1 does not allow.
             return Some(status::TOO_MANY_CONNECTIONS);
         }
         let other_stage = self.stage.is_some_and(|now| now != stage);
@@ -230,13 +236,13 @@
         None
     }
 
-    /// The keys that answer a whole text, or the status the login fails with.
-    fn take(&mut self, text: &[u8], target: &Target) -> Result<Vec<(String, String)>, u16> {
+    /// Negotiates the keys of a complete text; returns the answers, or the status to fail the login with.
+    fn negotiate_text(&mut self, text: &[u8], target: &Target) -> Result<Vec<(String, String)>, u16> {
         let first = self.seen.is_empty();
         let mut answers = Vec::new();
         for (key, value) in pairs(text).ok_or(status::INITIATOR_ERROR)? {
             if self.seen.insert(key.clone(), value.clone()).is_some() {
-                return Err(status::INITIATOR_ERROR); // a key may be negotiated once
+                return Err(status::INITIATOR_ERROR); // a key must not be negotiated twice
             }
             if let Some(answer) = self.params.negotiate(&key, &value, target)? {
                 answers.push((key, answer));
@@ -256,82 +262,83 @@
     }
 }
 
-fn fail(request: &Pdu, class_and_detail: u16) -> Pdu {
-    respond(request, 0, 0).with(36, u32::from(class_and_detail) << 16)
+fn failure(request: &Pdu, class_and_detail: u16) -> Pdu {
+    login_response(request, 0, 0).with_u32(36, u32::from(class_and_detail) << 16)
 }
 
-fn respond(request: &Pdu, flags: u8, tsih: u16) -> Pdu {
+fn login_response(request: &Pdu, flags: u8, tsih: u16) -> Pdu {
     let mut pdu = Pdu::new(response::LOGIN, flags, request.task());
     pdu.header[8..14].copy_from_slice(&request.header[8..14]);
     pdu.header[14..16].copy_from_slice(&tsih.to_be_bytes());
     pdu
 }
 
-/// Leads a connection through its login. `open` gives the session its handle once the login is about to
-/// succeed, or `None` when there is no room for one.
+/// Runs the login phase of a connection. Before the final response, `open` registers the session and returns its TSIH
+/// and handle, or `None` if the target has no room for another session.
 ///
 /// # Errors
 ///
-/// The connection ends, a PDU is not a login request, the login is rejected, or it takes too many requests.
+/// Returns an error if the connection ends, a PDU is not a login request, the login is rejected or it takes more than
+/// 32 requests.
 pub async fn login<H>(
     connection: &mut Connection,
     target: &Target,
     open: impl FnOnce(&Params) -> Option<(u16, H)>,
 ) -> Result<(Params, H), SessionError> {
     let seen = BTreeMap::new();
-    let mut login = Login { params: Params::default(), seen, stage: None, declared: false };
-    let mut gathered = BytesMut::new();
-    for _ in 0..MOST_REQUESTS {
+    let mut login = Login { params: Params::default(), seen, stage: None, segment_size_declared: false };
+    let mut pending_text = BytesMut::new();
+    for _ in 0..MAX_REQUESTS {
         let request = connection.read().await?;
         if request.opcode() != request::LOGIN {
-            return Err(SessionError::Protocol("another PDU during login"));
+            return Err(SessionError::Protocol("PDU other than a login request during login"));
         }
-        let Step { transit, more, stage, next } = Step::of(&request);
+        let StageRequest { transit, more, stage, next } = StageRequest::of(&request);
         if login.stage.is_none() {
             connection.start_numbering(&request);
             login.params.isid.copy_from_slice(&request.header[8..14]);
         }
-        let mut reject = login.problem(&request);
+        let mut failure_status = login.header_error(&request);
         login.stage = Some(stage);
-        gathered.extend_from_slice(&request.data);
-        if gathered.len() > LONGEST_TEXT {
-            reject = Some(status::INITIATOR_ERROR);
+        pending_text.extend_from_slice(&request.data);
+        if pending_text.len() > MAX_TEXT_BYTES {
+            failure_status = Some(status::INITIATOR_ERROR);
         }
-        if let Some(why) = reject {
-            connection.respond(fail(&request, why)).await?;
-            return Err(SessionError::Login(why));
+        if let Some(status_code) = failure_status {
+            connection.respond(failure(&request, status_code)).await?;
+            return Err(SessionError::Login(status_code));
         }
         if more {
-            connection.respond(respond(&request, stage << 2, 0)).await?;
+            connection.respond(login_response(&request, stage << 2, 0)).await?;
             continue;
         }
-        let mut answers = match login.take(&gathered.split(), target) {
+        let mut answers = match login.negotiate_text(&pending_text.split(), target) {
             Ok(answers) => answers,
-            Err(why) => {
-                connection.respond(fail(&request, why)).await?;
-                return Err(SessionError::Login(why));
+            Err(status_code) => {
+                connection.respond(failure(&request, status_code)).await?;
+                return Err(SessionError::Login(status_code));
             }
         };
-        if stage == OPERATIONAL && !login.declared {
-            login.declared = true;
-            answers.push(("MaxRecvDataSegmentLength".into(), LONGEST_SEGMENT.to_string()));
+        if stage == OPERATIONAL && !login.segment_size_declared {
+            login.segment_size_declared = true;
+            answers.push(("MaxRecvDataSegmentLength".into(), MAX_DATA_SEGMENT.to_string()));
         }
         let keys = text(&answers);
         if !(transit && next == FULL_FEATURE) {
             let flags = if transit { 0x80 | stage << 2 | next } else { stage << 2 };
-            connection.respond(respond(&request, flags, 0).with_data(keys)).await?;
+            connection.respond(login_response(&request, flags, 0).with_data(keys)).await?;
             login.stage = Some(if transit { next } else { stage });
             continue;
         }
         login.params.first_burst = login.params.first_burst.min(login.params.max_burst);
         let Some((tsih, handle)) = open(&login.params) else {
-            connection.respond(fail(&request, status::OUT_OF_RESOURCES)).await?;
+            connection.respond(failure(&request, status::OUT_OF_RESOURCES)).await?;
             return Err(SessionError::Login(status::OUT_OF_RESOURCES));
         };
         let flags = 0x80 | stage << 2 | FULL_FEATURE;
-        connection.respond(respond(&request, flags, tsih).with_data(keys)).await?;
+        connection.respond(login_response(&request, flags, tsih).with_data(keys)).await?;
         connection.set_digests(login.params.header_digest, login.params.data_digest);
         return Ok((login.params, handle));
     }
-    Err(SessionError::Protocol("a login without an end"))
+    Err(SessionError::Protocol("too many login requests"))
 }
--- a/src/frontend/block/mod.rs
+++ b/src/frontend/block/mod.rs
@@ -1,7 +1,8 @@
-//! The block front: an iSCSI target (RFC 7143, and the status qualifier of RFC 7144) over the same core.
+//! Block frontend: an iSCSI target (RFC 7143, with the status qualifier of RFC 7144) that shares the request core
+//! with the HTTP frontends.
 //!
-//! A subset in the standard's terms: one portal, one connection a session, recovery level 0, no
-//! authentication, immediate and solicited data. One SCSI command is one request within one extent.
+//! Supports one portal, one connection per session, error recovery level 0, no authentication, and immediate and
+//! solicited data. Each SCSI read or write becomes one request to the core, within one extent.
 
 pub mod config;
 pub mod connection;
--- a/src/frontend/block/pdu.rs
+++ b/src/frontend/block/pdu.rs
@@ -1,16 +1,16 @@
-//! iSCSI PDUs (RFC 7143, section 11): the basic header segment, the data segment and their digests.
+//! Encoding and decoding of iSCSI PDUs (RFC 7143, section 11): basic header segment, data segment and digests.
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Bytes of a basic header segment.
-pub const BHS: usize = 48;
-/// Longest data segment that the target takes.
-pub const LONGEST_SEGMENT: usize = 64 * 1024;
-/// The tag that stands for none.
+/// Length of a basic header segment, in bytes.
+pub const HEADER_LENGTH: usize = 48;
+/// Largest data segment that the target accepts, in bytes; declared as MaxRecvDataSegmentLength.
+pub const MAX_DATA_SEGMENT: usize = 64 * 1024;
+/// Reserved value of a task tag or transfer tag: no tag.
 pub const NO_TAG: u32 = u32::MAX;
 
-/// Opcodes of the initiator.
+/// Opcodes of PDUs that initiators send.
 pub mod request {
     /// NOP-Out.
     pub const NOP_OUT: u8 = 0x00;
@@ -30,7 +30,7 @@
     pub const SNACK: u8 = 0x10;
 }
 
-/// Opcodes of the target.
+/// Opcodes of PDUs that the target sends.
 pub mod response {
     /// NOP-In.
     pub const NOP_IN: u8 = 0x20;
@@ -54,75 +54,75 @@
     pub const REJECT: u8 = 0x3f;
 }
 
-/// Bytes that are no PDU, or one past what was declared.
+/// An error while decoding a PDU.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum PduError {
-    /// The data segment is longer than declared.
-    #[error("a data segment of {0} bytes")]
+    /// The data segment exceeds the declared maximum; holds its length in bytes.
+    #[error("data segment of {0} bytes exceeds the declared maximum")]
     TooLong(usize),
-    /// The header's digest is wrong: nothing in it can be trusted.
+    /// The header digest does not match, so that no field of the header can be trusted.
     #[error("header digest error")]
     HeaderDigest,
-    /// The data's digest is wrong.
+    /// The data digest does not match; holds the header, which a Reject PDU returns.
     #[error("data digest error")]
-    DataDigest(Box<[u8; BHS]>),
+    DataDigest(Box<[u8; HEADER_LENGTH]>),
 }
 
-/// One PDU.
+/// An iSCSI PDU without additional header segments.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pdu {
     /// The basic header segment.
-    pub header: [u8; BHS],
+    pub header: [u8; HEADER_LENGTH],
     /// The data segment.
     pub data: Bytes,
 }
 
 impl Pdu {
-    /// A PDU of the target with the flags byte and the initiator's task tag.
+    /// Creates a PDU with an opcode, the flags byte and the initiator task tag.
     pub fn new(opcode: u8, flags: u8, task: u32) -> Pdu {
-        let mut header = [0; BHS];
+        let mut header = [0; HEADER_LENGTH];
         (header[0], header[1]) = (opcode, flags);
-        Pdu { header, data: Bytes::new() }.with(16, task)
+        Pdu { header, data: Bytes::new() }.with_u32(16, task)
     }
 
-    /// The same with four bytes set.
-    pub fn with(mut self, at: usize, value: u32) -> Pdu {
+    /// Sets the big-endian 32-bit field at byte `at` of the header.
+    pub fn with_u32(mut self, at: usize, value: u32) -> Pdu {
         self.header[at..at + 4].copy_from_slice(&value.to_be_bytes());
         self
     }
 
-    /// The same with a data segment.
+    /// Sets the data segment.
     pub fn with_data(mut self, data: impl Into<Bytes>) -> Pdu {
         self.data = data.into();
         self
     }
 
-    /// Which kind of PDU.
+    /// Returns the opcode.
     pub fn opcode(&self) -> u8 {
         self.header[0] & 0x3f
     }
 
-    /// Whether it is for immediate delivery.
+    /// Returns whether the PDU is marked for immediate delivery.
     pub fn immediate(&self) -> bool {
         self.header[0] & 0x40 != 0
     }
 
-    /// The flags byte.
+    /// Returns the flags byte.
     pub fn flags(&self) -> u8 {
         self.header[1]
     }
 
-    /// The initiator task tag.
+    /// Returns the initiator task tag.
     pub fn task(&self) -> u32 {
-        self.at(16)
+        self.u32_at(16)
     }
 
-    /// Four bytes of the header.
-    pub fn at(&self, at: usize) -> u32 {
+    /// Returns the big-endian 32-bit field at byte `at` of the header.
+    pub fn u32_at(&self, at: usize) -> u32 {
         self.header[at..at + 4].iter().fold(0, |value, byte| value << 8 | u32::from(*byte))
     }
 
-    /// The logical unit number, in peripheral or flat addressing; `None` for other forms.
+    /// Returns the logical unit number, or `None` if the field uses neither peripheral device nor flat space addressing.
     pub fn lun(&self) -> Option<u16> {
         let field = &self.header[8..16];
         let number = u16::from_be_bytes([field[0] & 0x3f, field[1]]);
@@ -132,34 +132,34 @@
     }
 }
 
-/// How PDUs lie on a connection.
+/// Encodes and decodes the PDUs of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
-    /// A CRC32C follows each header.
+    /// Whether a CRC32C follows each header.
     pub header_digest: bool,
-    /// A CRC32C follows each data segment.
+    /// Whether a CRC32C follows each data segment.
     pub data_digest: bool,
-    /// Longest data segment taken.
-    pub longest: usize,
+    /// Largest data segment accepted, in bytes.
+    pub max_data_segment: usize,
 }
 
 impl Codec {
-    /// The next PDU, if all of it is there.
+    /// Decodes the next PDU and removes it from the buffer, or returns `None` if the buffer does not hold all of it.
     ///
     /// # Errors
     ///
-    /// The data segment is longer than declared, or a digest is wrong.
+    /// Returns an error if the data segment exceeds `max_data_segment` or a digest does not match.
     pub fn decode(&self, buffer: &mut BytesMut) -> Result<Option<Pdu>, PduError> {
-        if buffer.len() < BHS {
+        if buffer.len() < HEADER_LENGTH {
             return Ok(None);
         }
-        let mut header = [0; BHS];
-        header.copy_from_slice(&buffer[..BHS]);
+        let mut header = [0; HEADER_LENGTH];
+        header.copy_from_slice(&buffer[..HEADER_LENGTH]);
         let length = usize::from(header[5]) << 16 | usize::from(header[6]) << 8 | usize::from(header[7]);
-        if length > self.longest {
+        if length > self.max_data_segment {
             return Err(PduError::TooLong(length));
         }
-        let headers = BHS + usize::from(header[4]) * 4;
+        let headers = HEADER_LENGTH + usize::from(header[4]) * 4;
         let digest = |on: bool| if on { 4 } else { 0 };
         let data_at = headers + digest(self.header_digest);
         let padded = length.next_multiple_of(4);
@@ -179,7 +179,7 @@
         Ok(Some(Pdu { header, data: frame.slice(data_at..data_at + length) }))
     }
 
-    /// Appends a PDU to what goes out.
+    /// Appends an encoded PDU, with its digests and padding, to `out`.
     pub fn encode(&self, pdu: &Pdu, out: &mut BytesMut) {
         let mut header = pdu.header;
         header[5..8].copy_from_slice(&(pdu.data.len() as u32).to_be_bytes()[1..]);
--- a/src/frontend/block/pdu/tests.rs
+++ b/src/frontend/block/pdu/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of this module's private parts.
+//! Unit tests of the PDU codec.
 
 use super::*;
 
-const PLAIN: Codec = Codec { header_digest: false, data_digest: false, longest: 100 };
-const DIGESTS: Codec = Codec { header_digest: true, data_digest: true, longest: 100 };
+const PLAIN: Codec = Codec { header_digest: false, data_digest: false, max_data_segment: 100 };
+const DIGESTS: Codec = Codec { header_digest: true, data_digest: true, max_data_segment: 100 };
 
 #[test]
-fn what_is_written_is_read_back_however_it_is_cut() {
+fn decodes_an_encoded_pdu_only_once_its_last_byte_has_arrived() {
     for codec in [PLAIN, DIGESTS] {
-        let pdu = Pdu::new(response::NOP_IN, 0x80, 7).with(20, NO_TAG).with_data(&b"abcde"[..]);
+        let pdu = Pdu::new(response::NOP_IN, 0x80, 7).with_u32(20, NO_TAG).with_data(&b"abcde"[..]);
         let mut out = BytesMut::new();
         codec.encode(&pdu, &mut out);
         let mut buffer = BytesMut::new();
@@ -17,14 +17,14 @@
             assert_eq!(codec.decode(&mut buffer), Ok(None));
         }
         buffer.extend_from_slice(&out[out.len() - 1..]);
-        let read = codec.decode(&mut buffer).expect("whole").expect("whole");
-        assert_eq!((read.task(), read.at(20), &read.data[..]), (7, NO_TAG, &b"abcde"[..]));
+        let read = codec.decode(&mut buffer).expect("valid PDU").expect("complete PDU");
+        assert_eq!((read.task(), read.u32_at(20), &read.data[..]), (7, NO_TAG, &b"abcde"[..]));
         assert!(buffer.is_empty());
     }
 }
 
 #[test]
-fn a_flipped_bit_and_an_overlong_segment_are_found() {
+fn rejects_flipped_bits_and_oversized_data_segments() {
     let mut out = BytesMut::new();
     DIGESTS.encode(&Pdu::new(response::NOP_IN, 0x80, 7).with_data(&b"abcd"[..]), &mut out);
     let flipped = |at: usize| {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_digest_is_the_standards() {
-    // RFC 7143, appendix: 32 bytes of zeros.
+fn crc32c_matches_the_test_vector_of_the_rfc() {
+    // CRC example in the appendix of RFC 7143: 32 bytes of zeros.
     assert_eq!(crc32c::crc32c(&[0; 32]).to_le_bytes(), [0xaa, 0x36, 0x91, 0x8a]);
 }
--- a/src/frontend/block/registry.rs
+++ b/src/frontend/block/registry.rs
@@ -1,34 +1,35 @@
-//! The sessions that are open: how many, and which of them an initiator port's new login replaces.
+//! Registry of open sessions: limits their number and reinstates the session of an initiator port that logs in again
+//! (RFC 7143, section 6.3.5).
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::{Rc, Weak};
 use tokio::sync::Notify;
 
-/// An initiator port: its name and its part of the session's identifier.
+/// An initiator port, identified by the initiator's name and the ISID.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct InitiatorPort {
-    /// The initiator's name.
+    /// The initiator's iSCSI name.
     pub initiator: String,
-    /// Its part of the session's identifier.
+    /// The initiator part of the session identifier (ISID).
     pub isid: [u8; 6],
 }
 
-/// A session as its port knows it.
-struct Open {
+/// The open session of an initiator port.
+struct OpenSession {
     tsih: u16,
     replaced: Weak<Notify>,
 }
 
 #[derive(Default)]
 struct Sessions {
-    by_port: HashMap<InitiatorPort, Open>,
+    by_port: HashMap<InitiatorPort, OpenSession>,
     open: usize,
     last_tsih: u16,
 }
 
 impl Sessions {
-    /// A handle that no open session has; never 0.
+    /// Returns a TSIH that no open session uses; never 0, which is reserved for new sessions.
     fn next_tsih(&mut self) -> u16 {
         loop {
             self.last_tsih = self.last_tsih.wrapping_add(1).max(1);
@@ -40,18 +41,19 @@
     }
 }
 
-/// All open sessions of the target.
+/// All open sessions of the target; clones share the same registry.
 #[derive(Clone, Default)]
 pub struct SessionRegistry {
     sessions: Rc<RefCell<Sessions>>,
 }
 
 impl SessionRegistry {
-    /// A place for a session that is about to begin; an older one of the same port ends. `None`: `most` are open.
-    pub fn open(&self, port: InitiatorPort, most: usize) -> Option<SessionHandle> {
+    /// Registers a new session and notifies an older session of the same port that it is replaced. Returns `None` if
+    /// `max_sessions` are open and the new session replaces none of them.
+    pub fn open(&self, port: InitiatorPort, max_sessions: usize) -> Option<SessionHandle> {
         let sessions = &mut *self.sessions.borrow_mut();
         let older = sessions.by_port.remove(&port).and_then(|session| session.replaced.upgrade());
-        if older.is_none() && sessions.open >= most {
+        if older.is_none() && sessions.open >= max_sessions {
             return None;
         }
         if let Some(older) = older {
@@ -60,12 +62,12 @@
         let tsih = sessions.next_tsih();
         let replaced = Rc::new(Notify::new());
         sessions.open += 1;
-        sessions.by_port.insert(port.clone(), Open { tsih, replaced: Rc::downgrade(&replaced) });
+        sessions.by_port.insert(port.clone(), OpenSession { tsih, replaced: Rc::downgrade(&replaced) });
         Some(SessionHandle { tsih, port, replaced, registry: self.clone() })
     }
 }
 
-/// A session's place among all; given back when dropped.
+/// The registration of an open session; dropping the handle removes it.
 pub struct SessionHandle {
     tsih: u16,
     port: InitiatorPort,
@@ -74,12 +76,12 @@
 }
 
 impl SessionHandle {
-    /// The target session identifying handle.
+    /// Returns the target session identifying handle (TSIH).
     pub fn tsih(&self) -> u16 {
         self.tsih
     }
 
-    /// Waits until a new login of the same initiator port takes the session's place.
+    /// Waits until a new login of the same initiator port replaces the session.
     pub async fn replaced(&self) {
         self.replaced.notified().await;
     }
--- a/src/frontend/block/scsi.rs
+++ b/src/frontend/block/scsi.rs
@@ -1,6 +1,6 @@
-//! The SCSI side: which command a CDB holds, what a logical unit answers by itself, and sense data.
+//! SCSI command decoding: parses CDBs, answers commands that move no blocks and formats sense data.
 
-use super::config::{Lun, Place, Target};
+use super::config::{BlockRange, Lun, Target};
 use crate::core::Operation;
 
 /// SCSI status codes (SAM-5).
@@ -15,7 +15,7 @@
     pub const TASK_SET_FULL: u8 = 0x28;
 }
 
-/// Why a command ended in CHECK CONDITION: sense key, additional sense code and its qualifier.
+/// Sense data of a CHECK CONDITION: sense key, additional sense code and additional sense code qualifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sense(pub u8, pub u8, pub u8);
 
@@ -29,13 +29,13 @@
 pub const NO_SUCH_UNIT: Sense = Sense(0x05, 0x25, 0x00);
 /// MEDIUM ERROR, UNRECOVERED READ ERROR.
 pub const READ_ERROR: Sense = Sense(0x03, 0x11, 0x00);
-/// ABORTED COMMAND, LOGICAL UNIT COMMUNICATION TIME-OUT: it failed, or may have run.
+/// ABORTED COMMAND, LOGICAL UNIT COMMUNICATION TIME-OUT: the request failed, or may have been executed.
 pub const NO_ANSWER: Sense = Sense(0x0b, 0x08, 0x01);
-/// ABORTED COMMAND, DATA PHASE ERROR: the data of a write never came whole.
+/// ABORTED COMMAND, DATA PHASE ERROR: the data of a write did not arrive completely.
 pub const DATA_PHASE: Sense = Sense(0x0b, 0x4b, 0x00);
 
 impl Sense {
-    /// Fixed format sense data (SPC-4).
+    /// Encodes the sense data in fixed format (SPC-4).
     pub fn bytes(self) -> [u8; 18] {
         let mut sense = [0; 18];
         (sense[0], sense[2], sense[7]) = (0x70, self.0, 10);
@@ -44,83 +44,111 @@
     }
 }
 
-/// What a command comes to.
+/// A decoded command.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Answered by the target itself with this data.
-    Here(Vec<u8>),
-    /// Blocks to read or write in one extent.
-    Blocks(Operation, Place),
+    /// The target answers with this data, without a request to a node.
+    Local(Vec<u8>),
+    /// A read or write of blocks in one extent.
+    Blocks(Operation, BlockRange),
 }
 
-fn number(bytes: &[u8]) -> u64 {
+fn read_big_endian(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |value, byte| value << 8 | u64::from(*byte))
 }
 
-/// Reads a CDB addressed to a logical unit (`None`: one in no known form).
+/// Decodes a CDB. `lun_number` is `None` if the LUN field has an unsupported format.
 ///
 /// # Errors
 ///
-/// The sense data of a command that can't be served: unknown unit or operation, invalid field, or blocks out of range.
-pub fn command(cdb: &[u8; 16], target: &Target, number_of: Option<u16>) -> Result<Command, Sense> {
-    let lun = number_of.and_then(|n| target.lun(n));
+/// Returns sense data for an unknown logical unit or operation code, an invalid field or blocks out of range.
+pub fn command(cdb: &[u8; 16], target: &Target, lun_number: Option<u16>) -> Result<Command, Sense> {
+    let lun = lun_number.and_then(|n| target.lun(n));
     let at_most = |mut data: Vec<u8>, length: u64| {
         data.truncate(usize::try_from(length).unwrap_or(usize::MAX));
-        Ok(Command::Here(data))
+        Ok(Command::Local(data))
     };
-    // These two are answered for any logical unit number.
+    // INQUIRY and REPORT LUNS are answered for any logical unit number.
     match cdb[0] {
-        0x12 => return at_most(inquiry(cdb, target, lun)?, number(&cdb[3..5])),
-        0xa0 => return at_most(report_luns(cdb, target)?, number(&cdb[6..10])),
+        0x12 => return at_most(inquiry(cdb, target, lun)?, read_big_endian(&cdb[3..5])),
+        0xa0 => return at_most(report_luns(cdb, target)?, read_big_endian(&cdb[6..10])),
         _ => {}
     }
     let lun = lun.ok_or(NO_SUCH_UNIT)?;
     let (blocks, size) = (lun.blocks(), target.block_size);
     match cdb[0] {
-        // TEST UNIT READY; REQUEST SENSE has nothing to tell, all sense goes out with its command.
-        0x00 => Ok(Command::Here(Vec::new())),
+        // TEST UNIT READY. REQUEST SENSE reports no sense: each response already carries its sense data.
+        0x00 => Ok(Command::Local(Vec::new())),
         0x03 => at_most(Sense(0, 0, 0).bytes().to_vec(), u64::from(cdb[4])),
         // READ CAPACITY (10) and (16).
         0x25 => {
             let last = u32::try_from(blocks - 1).unwrap_or(u32::MAX);
-            Ok(Command::Here([last.to_be_bytes(), size.to_be_bytes()].concat()))
+            Ok(Command::Local([last.to_be_bytes(), size.to_be_bytes()].concat()))
         }
         0x9e if cdb[1] & 0x1f == 0x10 => {
             let mut data = (blocks - 1).to_be_bytes().to_vec();
             data.extend(size.to_be_bytes());
             data.resize(32, 0);
-            at_most(data, number(&cdb[10..14]))
+            at_most(data, read_big_endian(&cdb[10..14]))
         }
-        0x28 => span(target, lun, Operation::Read, cdb[1], number(&cdb[2..6]), number(&cdb[7..9])),
-        0x2a => span(target, lun, Operation::Write, cdb[1], number(&cdb[2..6]), number(&cdb[7..9])),
-        0x88 => span(target, lun, Operation::Read, cdb[1], number(&cdb[2..10]), number(&cdb[10..14])),
-        0x8a => span(target, lun, Operation::Write, cdb[1], number(&cdb[2..10]), number(&cdb[10..14])),
+        0x28 => transfer_command(
+            target,
+            lun,
+            Operation::Read,
+            cdb[1],
+            read_big_endian(&cdb[2..6]),
+            read_big_endian(&cdb[7..9]),
+        ),
+        0x2a => transfer_command(
+            target,
+            lun,
+            Operation::Write,
+            cdb[1],
+            read_big_endian(&cdb[2..6]),
+            read_big_endian(&cdb[7..9]),
+        ),
+        0x88 => transfer_command(
+            target,
+            lun,
+            Operation::Read,
+            cdb[1],
+            read_big_endian(&cdb[2..10]),
+            read_big_endian(&cdb[10..14]),
+        ),
+        0x8a => transfer_command(
+            target,
+            lun,
+            Operation::Write,
+            cdb[1],
+            read_big_endian(&cdb[2..10]),
+            read_big_endian(&cdb[10..14]),
+        ),
         _ => Err(INVALID_OPERATION),
     }
 }
 
-fn span(
+fn transfer_command(
     target: &Target,
     lun: &Lun,
-    verb: Operation,
+    operation: Operation,
     flags: u8,
     lba: u64,
     count: u64,
 ) -> Result<Command, Sense> {
     if flags >> 5 != 0 {
-        return Err(INVALID_FIELD); // protection information, which the units don't have
+        return Err(INVALID_FIELD); // the logical units do not support protection information
     }
     if lba.checked_add(count).is_none_or(|end| end > lun.blocks()) {
         return Err(OUT_OF_RANGE);
     }
     match count {
-        0 => Ok(Command::Here(Vec::new())),
-        _ => Ok(Command::Blocks(verb, lun.place(target, lba, count).ok_or(INVALID_FIELD)?)),
+        0 => Ok(Command::Local(Vec::new())),
+        _ => Ok(Command::Blocks(operation, lun.locate(target, lba, count).ok_or(INVALID_FIELD)?)),
     }
 }
 
 fn inquiry(cdb: &[u8; 16], target: &Target, lun: Option<&Lun>) -> Result<Vec<u8>, Sense> {
-    // No unit there: qualifier 011b and an unknown device type.
+    // No such logical unit: peripheral qualifier 011b and unknown device type.
     let device = if lun.is_some() { 0x00 } else { 0x7f };
     if cdb[1] & 1 == 0 {
         if cdb[2] != 0 {
@@ -136,7 +164,7 @@
         0x00 => vec![0x00, 0x80, 0x83, 0xb0],
         0x80 => serial.into_bytes(),
         0x83 => {
-            // Of the unit: a T10 vendor identification. Of the port: the SCSI name string.
+            // Logical unit: T10 vendor ID based designator. Target port: SCSI name string.
             let vendor = format!("FLAXGAP {serial}");
             let mut name = format!("{},t,0x0001", target.name).into_bytes();
             name.push(0);
@@ -148,10 +176,10 @@
             page
         }
         0xb0 => {
-            let most = target.most_blocks(lun) as u32;
+            let max_blocks = target.max_blocks_per_command(lun) as u32;
             let mut page = vec![0; 60];
-            page[4..8].copy_from_slice(&most.to_be_bytes()); // MAXIMUM TRANSFER LENGTH
-            page[8..12].copy_from_slice(&most.to_be_bytes()); // OPTIMAL TRANSFER LENGTH
+            page[4..8].copy_from_slice(&max_blocks.to_be_bytes()); // MAXIMUM TRANSFER LENGTH
+            page[8..12].copy_from_slice(&max_blocks.to_be_bytes()); // OPTIMAL TRANSFER LENGTH
             page
         }
         _ => return Err(INVALID_FIELD),
@@ -163,7 +191,7 @@
 }
 
 fn report_luns(cdb: &[u8; 16], target: &Target) -> Result<Vec<u8>, Sense> {
-    // SELECT REPORT: 0 and 2 list the units; 1 the well known ones, of which there are none.
+    // SELECT REPORT: 0 and 2 list the logical units; 1 lists well known logical units, of which the target has none.
     let listed: &[Lun] = match cdb[2] {
         0 | 2 => &target.luns,
         1 => &[],
@@ -172,8 +200,8 @@
     let mut data = (listed.len() as u32 * 8).to_be_bytes().to_vec();
     data.extend([0; 4]);
     for lun in listed {
-        let flat = if lun.lun < 256 { lun.lun } else { 0x4000 | lun.lun };
-        data.extend(flat.to_be_bytes());
+        let address = if lun.lun < 256 { lun.lun } else { 0x4000 | lun.lun };
+        data.extend(address.to_be_bytes());
         data.extend([0; 6]);
     }
     Ok(data)
--- a/src/frontend/block/session.rs
+++ b/src/frontend/block/session.rs
@@ -1,4 +1,4 @@
-//! A session in its full feature phase: the loop over what comes in, what is done and what falls due.
+//! A session in its full feature phase: an event loop over received PDUs, completed commands and timers.
 
 mod command;
 mod control;
@@ -21,19 +21,20 @@
 use tokio::task::{Id, JoinSet};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// How long a login may take.
+/// Time limit of the login phase.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// After this long without a PDU the initiator is pinged, and given as long again.
+/// Time without a received PDU after which the target sends a NOP-In ping; after the same time again without a PDU
+/// the session ends.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a session without work is kept once the program ends.
+/// How long a session without outstanding commands stays open after shutdown begins.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(200);
-/// The asynchronous event by which the target asks for a logout, and the seconds that it gives.
+/// The asynchronous event code that requests a logout, and the seconds within which the initiator must log out.
 const LOGOUT_REQUESTED: u8 = 1;
 const LOGOUT_SECONDS: u32 = 1;
 
-/// One session of the target.
+/// An open session and its outstanding commands.
 struct Session<T> {
-    front: Rc<BlockFrontend<T>>,
+    frontend: Rc<BlockFrontend<T>>,
     connection: Connection,
     params: Params,
     tsih: u16,
@@ -44,28 +45,29 @@
     pinged: bool,
 }
 
-/// Serves one connection to its end.
+/// Serves a connection until its session ends.
 ///
 /// # Errors
 ///
-/// The login fails, the initiator breaks the protocol or goes silent, the connection ends, or a new login replaces it.
+/// Returns an error if the login fails, the initiator violates the protocol or times out, the connection ends or a new
+/// login replaces the session.
 pub async fn serve<T: Transport + 'static>(
-    front: Rc<BlockFrontend<T>>,
+    frontend: Rc<BlockFrontend<T>>,
     stream: Rc<TcpStream>,
 ) -> Result<(), SessionError> {
     stream.set_nodelay(true)?;
     let mut connection = Connection::new(stream);
-    let login = login::login(&mut connection, &front.target, |params| {
-        let handle = front.open(params)?;
+    let login = login::login(&mut connection, &frontend.target, |params| {
+        let handle = frontend.open(params)?;
         Some((handle.tsih(), handle))
     });
-    let (params, handle) = timeout(LOGIN_TIMEOUT, login).await.map_err(|_| SessionError::Silent)??;
-    connection.set_window(front.target.queue_depth);
-    front.counters.block_sessions.add();
+    let (params, handle) = timeout(LOGIN_TIMEOUT, login).await.map_err(|_| SessionError::Timeout)??;
+    connection.set_window(frontend.target.queue_depth);
+    frontend.counters.block_sessions.add();
     let tsih = handle.tsih();
     log::info!("block: session {tsih} of {}", params.initiator);
     let mut session = Session {
-        front,
+        frontend,
         connection,
         params,
         tsih,
@@ -76,7 +78,7 @@
         pinged: false,
     };
     let ended = session.run(&handle).await;
-    // What is still in hand is dropped here: unsent writes are never sent, the rest is cancelled.
+    // Dropping the session discards writes that wait for data and cancels running commands.
     log::info!(
         "block: session {tsih} ended: {}",
         match &ended {
@@ -89,13 +91,13 @@
 
 impl<T: Transport + 'static> Session<T> {
     async fn run(&mut self, handle: &SessionHandle) -> Result<(), SessionError> {
-        let mut closing = self.front.phases.subscribe_closing();
-        let mut leave_at: Option<Instant> = None;
-        let mut heard = Instant::now();
+        let mut closing = self.frontend.phases.subscribe_closing();
+        let mut close_at: Option<Instant> = None;
+        let mut last_received = Instant::now();
         loop {
-            let idle = heard + IDLE_TIMEOUT;
-            let data_due = self.first_deadline();
-            let leave = leave_at.filter(|_| self.tasks.is_empty());
+            let idle_deadline = last_received + IDLE_TIMEOUT;
+            let data_deadline = self.first_data_deadline();
+            let close_when_idle = close_at.filter(|_| self.tasks.is_empty());
             tokio::select! {
                 biased;
                 () = handle.replaced() => return Err(SessionError::Protocol("replaced by a new login")),
@@ -105,79 +107,79 @@
                         _ => {}
                     }
                 }
-                () = sleep_until(data_due.unwrap_or(idle)), if data_due.is_some() => {
-                    self.give_up_data().await?;
+                () = sleep_until(data_deadline.unwrap_or(idle_deadline)), if data_deadline.is_some() => {
+                    self.fail_overdue_writes().await?;
                 }
                 pdu = self.connection.read() => {
-                    heard = Instant::now();
+                    last_received = Instant::now();
                     self.pinged = false;
-                    if self.arrived(pdu).await? {
+                    if self.handle_read(pdu).await? {
                         return Ok(());
                     }
                 }
-                () = sleep_until(idle) => {
-                    heard = Instant::now();
+                () = sleep_until(idle_deadline) => {
+                    last_received = Instant::now();
                     self.ping().await?;
                 }
-                _ = closing.wait_for(|closing| *closing), if leave_at.is_none() => {
+                _ = closing.wait_for(|closing| *closing), if close_at.is_none() => {
                     self.ask_for_logout().await?;
-                    leave_at = Some(Instant::now() + SHUTDOWN_GRACE);
+                    close_at = Some(Instant::now() + SHUTDOWN_GRACE);
                 }
-                () = sleep_until(leave.unwrap_or(idle)), if leave.is_some() => return Ok(()),
+                () = sleep_until(close_when_idle.unwrap_or(idle_deadline)), if close_when_idle.is_some() => return Ok(()),
             }
         }
     }
 
-    /// Whether a command is still the one that this run serves: an aborted one has nothing to tell, even if it was
-    /// done just before.
+    /// Returns whether the finished Tokio task `id` still belongs to the command with this tag. The result of an
+    /// aborted command is discarded, even if the command completed just before the abort.
     fn is_running(&self, task: u32, id: Id) -> bool {
         matches!(self.tasks.get(&task), Some(Task::Running(running)) if running.id() == id)
     }
 
-    /// Pings an initiator that nothing came from, once.
+    /// Sends a NOP-In that requests a reply; fails if no PDU has arrived since the previous one.
     async fn ping(&mut self) -> Result<(), SessionError> {
         if self.pinged {
-            return Err(SessionError::Silent);
+            return Err(SessionError::Timeout);
         }
         self.pinged = true;
         let transfer_tag = self.next_transfer_tag();
-        let ping = Pdu::new(opcode::NOP_IN, 0x80, NO_TAG).with(20, transfer_tag);
+        let ping = Pdu::new(opcode::NOP_IN, 0x80, NO_TAG).with_u32(20, transfer_tag);
         self.connection.send_unnumbered(ping).await
     }
 
     async fn ask_for_logout(&mut self) -> Result<(), SessionError> {
-        let mut event = Pdu::new(opcode::ASYNC, 0x80, NO_TAG).with(40, LOGOUT_SECONDS);
+        let mut event = Pdu::new(opcode::ASYNC, 0x80, NO_TAG).with_u32(40, LOGOUT_SECONDS);
         event.header[36] = LOGOUT_REQUESTED;
         self.connection.respond(event).await
     }
 
-    /// What was read; true after a logout.
-    async fn arrived(&mut self, pdu: Result<Pdu, SessionError>) -> Result<bool, SessionError> {
+    /// Handles the result of a read; returns true after a logout.
+    async fn handle_read(&mut self, pdu: Result<Pdu, SessionError>) -> Result<bool, SessionError> {
         match pdu {
             Err(SessionError::Pdu(PduError::DataDigest(header))) => {
-                self.front.counters.block_rejects.add();
+                self.frontend.counters.block_rejects.add();
                 self.connection.reject(reject_reason::DATA_DIGEST, &header).await?;
                 Err(SessionError::Protocol("data digest error"))
             }
-            other => self.take(other?).await,
+            other => self.handle_pdu(other?).await,
         }
     }
 
-    /// One PDU of the initiator; true after a logout.
-    async fn take(&mut self, pdu: Pdu) -> Result<bool, SessionError> {
+    /// Handles one PDU of the initiator; returns true after a logout.
+    async fn handle_pdu(&mut self, pdu: Pdu) -> Result<bool, SessionError> {
         let opcode = pdu.opcode();
         let numbered = !matches!(opcode, request::DATA_OUT | request::SNACK);
         if numbered && !pdu.immediate() {
-            match self.connection.take_command_number(pdu.at(24)) {
+            match self.connection.accept_command_number(pdu.u32_at(24)) {
                 CommandOrder::Next => {}
-                CommandOrder::Outside => return Ok(false), // ignored, as the standard has it
-                // With one connection nothing can overtake: a number is missing.
-                CommandOrder::Gap => return self.protocol_error(&pdu, "a gap in CmdSN").await,
+                CommandOrder::Outside => return Ok(false), // ignored (RFC 7143, section 4.2.2.1)
+                // A single connection delivers commands in order, so a command was lost.
+                CommandOrder::Gap => return self.protocol_error(&pdu, "gap in CmdSN").await,
             }
         }
         let serves_commands = self.params.session_type == SessionType::Normal;
         if !serves_commands && !matches!(opcode, request::TEXT | request::LOGOUT | request::NOP_OUT) {
-            return self.protocol_error(&pdu, "a command in a discovery session").await;
+            return self.protocol_error(&pdu, "PDU not allowed in a discovery session").await;
         }
         match opcode {
             request::SCSI_COMMAND => self.command(pdu).await.map(|()| false),
@@ -186,35 +188,35 @@
             request::TASK_MANAGEMENT => self.task_management(&pdu).await.map(|()| false),
             request::TEXT => self.text(&pdu).await.map(|()| false),
             request::LOGOUT => self.logout(&pdu).await,
-            request::LOGIN => self.protocol_error(&pdu, "a login in the full feature phase").await,
+            request::LOGIN => self.protocol_error(&pdu, "login request in the full feature phase").await,
             other => {
-                self.front.counters.block_rejects.add();
+                self.frontend.counters.block_rejects.add();
                 let snack = other == request::SNACK;
-                let why = if snack { reject_reason::SNACK } else { reject_reason::NOT_SUPPORTED };
-                self.connection.reject(why, &pdu.header).await?;
+                let reason = if snack { reject_reason::SNACK } else { reject_reason::NOT_SUPPORTED };
+                self.connection.reject(reason, &pdu.header).await?;
                 Ok(false)
             }
         }
     }
 
-    /// A numbered PDU that is over as soon as it is taken gives its place in the window back.
+    /// Extends the command window after a PDU that completes on receipt; immediate PDUs do not occupy the window.
     fn open_window(&mut self, pdu: &Pdu) {
         if !pdu.immediate() {
             self.connection.widen_window();
         }
     }
 
-    /// A numbered command that is over opens the window again; an immediate one never took a place.
+    /// Extends the command window after a command ends; immediate commands do not occupy the window.
     fn close_task(&mut self, task: u32) {
         if !self.immediate.remove(&task) {
             self.connection.widen_window();
         }
     }
 
-    /// Recovery level 0: what can't be made sense of is rejected, and the connection ends.
-    async fn protocol_error(&mut self, pdu: &Pdu, what: &'static str) -> Result<bool, SessionError> {
-        self.front.counters.block_rejects.add();
+    /// Rejects a PDU and returns the error that ends the connection, as error recovery level 0 requires.
+    async fn protocol_error(&mut self, pdu: &Pdu, problem: &'static str) -> Result<bool, SessionError> {
+        self.frontend.counters.block_rejects.add();
         self.connection.reject(reject_reason::PROTOCOL, &pdu.header).await?;
-        Err(SessionError::Protocol(what))
+        Err(SessionError::Protocol(problem))
     }
 }
--- a/src/frontend/block/session/command.rs
+++ b/src/frontend/block/session/command.rs
@@ -1,4 +1,4 @@
-//! SCSI commands: checks on arrival, and the request that the core serves for each.
+//! SCSI commands: validates them on arrival and translates reads and writes into requests to the core.
 
 use super::super::connection::reject_reason;
 use super::super::error::SessionError;
@@ -25,18 +25,18 @@
         let task = pdu.task();
         if task == NO_TAG || self.tasks.contains_key(&task) {
             self.open_window(&pdu);
-            self.front.counters.block_rejects.add();
-            let why =
+            self.frontend.counters.block_rejects.add();
+            let reason =
                 if task == NO_TAG { reject_reason::INVALID_FIELD } else { reject_reason::TASK_IN_PROGRESS };
-            return self.connection.reject(why, &pdu.header).await;
+            return self.connection.reject(reason, &pdu.header).await;
         }
-        self.front.counters.block_commands.add();
+        self.frontend.counters.block_commands.add();
         if pdu.immediate() {
             self.immediate.insert(task);
         }
-        let expected_length = pdu.at(20) as usize;
+        let expected_length = pdu.u32_at(20) as usize;
         let end = |result| Finished { task, expected_length, result };
-        if self.tasks.len() >= self.front.target.queue_depth as usize {
+        if self.tasks.len() >= self.frontend.target.queue_depth as usize {
             return self.finish(end(CommandResult::TaskSetFull)).await;
         }
         if let Some(problem) = self.unsolicited_problem(&pdu) {
@@ -44,52 +44,52 @@
         }
         let mut cdb = [0; 16];
         cdb.copy_from_slice(&pdu.header[32..]);
-        match scsi::command(&cdb, &self.front.target, pdu.lun()) {
-            Err(sense) => self.finish(end(CommandResult::Check(sense))).await,
-            Ok(Command::Here(data)) => {
-                let moved = data.len();
-                self.finish(end(CommandResult::Good { data: data.into(), moved })).await
+        match scsi::command(&cdb, &self.frontend.target, pdu.lun()) {
+            Err(sense) => self.finish(end(CommandResult::CheckCondition(sense))).await,
+            Ok(Command::Local(data)) => {
+                let transferred = data.len();
+                self.finish(end(CommandResult::Good { data: data.into(), transferred })).await
             }
-            Ok(Command::Blocks(verb, place)) => {
-                let class = &self.front.target.classes[usize::from(verb == Operation::Write)];
+            Ok(Command::Blocks(operation, range)) => {
+                let class = &self.frontend.target.classes[usize::from(operation == Operation::Write)];
                 let deadline = arrived + seconds(class.2);
-                let (lun, cmd_sn) = (pdu.lun().unwrap_or(0), pdu.at(24));
-                let command = BlockCommand { task, lun, cmd_sn, verb, place, deadline, expected_length };
-                self.move_blocks(&pdu, command).await
+                let (lun, cmd_sn) = (pdu.lun().unwrap_or(0), pdu.u32_at(24));
+                let command = BlockCommand { task, lun, cmd_sn, operation, range, deadline, expected_length };
+                self.start_transfer(&pdu, command).await
             }
         }
     }
 
-    /// What is wrong with the data that come with a command, if anything.
+    /// Returns what is wrong with the unsolicited data of a command, if anything.
     fn unsolicited_problem(&self, pdu: &Pdu) -> Option<&'static str> {
         let unsolicited = pdu.data.len();
         if unsolicited > 0 {
-            let most = (pdu.at(20) as usize).min(self.params.first_burst);
-            if pdu.flags() & WRITE == 0 || !self.params.immediate_data || unsolicited > most {
-                return Some("immediate data that were not agreed");
+            let max_unsolicited = (pdu.u32_at(20) as usize).min(self.params.first_burst);
+            if pdu.flags() & WRITE == 0 || !self.params.immediate_data || unsolicited > max_unsolicited {
+                return Some("immediate data not permitted by the negotiated parameters");
             }
         }
         if pdu.flags() & FINAL == 0 {
-            return Some("unsolicited data that were not agreed");
+            return Some("unsolicited Data-Out not permitted by the negotiated parameters");
         }
         None
     }
 
-    /// Begins a read, or a write with the data that came with it.
-    async fn move_blocks(&mut self, pdu: &Pdu, command: BlockCommand) -> Result<(), SessionError> {
-        let BlockCommand { task, verb, place, expected_length, .. } = command;
-        let direction = if verb == Operation::Write { WRITE } else { READ };
-        if pdu.flags() & direction == 0 || verb == Operation::Write && expected_length < place.length {
-            let result = CommandResult::Check(scsi::INVALID_FIELD);
+    /// Starts a read, or a write with the immediate data of its command.
+    async fn start_transfer(&mut self, pdu: &Pdu, command: BlockCommand) -> Result<(), SessionError> {
+        let BlockCommand { task, operation, range, expected_length, .. } = command;
+        let direction = if operation == Operation::Write { WRITE } else { READ };
+        if pdu.flags() & direction == 0 || operation == Operation::Write && expected_length < range.length {
+            let result = CommandResult::CheckCondition(scsi::INVALID_FIELD);
             return self.finish(Finished { task, expected_length, result }).await;
         }
-        if verb == Operation::Read {
+        if operation == Operation::Read {
             self.start(command, Bytes::new());
             return Ok(());
         }
         let mut lun_field = [0; 8];
         lun_field.copy_from_slice(&pdu.header[8..16]);
-        let data = BytesMut::from(&pdu.data[..pdu.data.len().min(place.length)]);
+        let data = BytesMut::from(&pdu.data[..pdu.data.len().min(range.length)]);
         let transfer = WriteTransfer {
             command,
             lun_field,
@@ -102,34 +102,35 @@
         self.receive(transfer).await
     }
 
-    /// Has the core serve a command, as one request within one extent.
+    /// Spawns a task that serves a command as one request to the core.
     pub(super) fn start(&mut self, command: BlockCommand, payload: Bytes) {
-        let front = self.front.clone();
+        let frontend = self.frontend.clone();
         let Some(call) = self.call(&command, payload) else { return };
         let task = command.task;
         let abort = self.running.spawn_local(async move {
-            let result = execute(&front, call, &command).await;
+            let result = execute(&frontend, call, &command).await;
             Finished { task: command.task, expected_length: command.expected_length, result }
         });
         self.tasks.insert(task, Task::Running(abort));
     }
 
-    /// The request for a command; `None` if its logical unit is not there.
+    /// Builds the request for a command; returns `None` if its logical unit does not exist.
     fn call(&self, command: &BlockCommand, payload: Bytes) -> Option<Call> {
-        let front = &self.front;
-        let BlockCommand { task, cmd_sn, verb, place, deadline, .. } = *command;
-        let lun = front.target.lun(command.lun)?;
-        let (class, class_name, _) = &front.target.classes[usize::from(verb == Operation::Write)];
+        let frontend = &self.frontend;
+        let BlockCommand { task, cmd_sn, operation, range, deadline, .. } = *command;
+        let lun = frontend.target.lun(command.lun)?;
+        let (class, class_name, _) = &frontend.target.classes[usize::from(operation == Operation::Write)];
         let target = format!(
             "/{class_name}/{:016x}/{:016x}?offset={}&length={}",
-            lun.volume.0, place.extent.0, place.offset, place.length
+            lun.volume.0, range.extent.0, range.offset, range.length
         );
-        // Unique for each command, and the same for each of its attempts.
-        let key = (verb == Operation::Write).then(|| format!("{}-{}-{cmd_sn}-{task}", front.life, self.tsih));
-        let envelope = NodeRequest {
-            operation: verb,
+        // The idempotency key is unique per command and shared by its attempts.
+        let key = (operation == Operation::Write)
+            .then(|| format!("{}-{}-{cmd_sn}-{task}", frontend.run_id, self.tsih));
+        let node_request = NodeRequest {
+            operation,
             target,
-            id: front.fresh_id(),
+            id: frontend.fresh_id(),
             idempotency_key: key.map(Bytes::from),
             payload: Payload::Buffered(payload),
         };
@@ -137,46 +138,46 @@
             class: *class,
             plan: lun.plan,
             volume: lun.volume,
-            extent: Some(place.extent).filter(|extent| extent.0 != 0),
-            shard: Some(place.shard),
-            units: place.units,
+            extent: Some(range.extent).filter(|extent| extent.0 != 0),
+            shard: Some(range.shard),
+            units: range.units,
             heads: lun.hosts,
             client_retry: false,
             deadline,
             client: None,
-            node_request: Rc::new(envelope),
+            node_request: Rc::new(node_request),
         })
     }
 }
 
-/// Serves one command's request to its end.
+/// Sends a command's request to the core and maps the answer to a SCSI result.
 async fn execute<T: Transport + 'static>(
-    front: &BlockFrontend<T>,
+    frontend: &BlockFrontend<T>,
     call: Call,
     command: &BlockCommand,
 ) -> CommandResult {
-    let length = command.place.length;
-    let flight = front.counters.track_request(call.class);
-    match front.dispatcher.serve(&*front.transport, call, flight).await {
-        Answer::Served(_, flight) if command.verb == Operation::Write => {
-            flight.finish(FinalOutcome::Served);
-            CommandResult::Good { data: Bytes::new(), moved: length }
+    let length = command.range.length;
+    let request_guard = frontend.counters.track_request(call.class);
+    match frontend.dispatcher.serve(&*frontend.transport, call, request_guard).await {
+        Answer::Served(_, request_guard) if command.operation == Operation::Write => {
+            request_guard.finish(FinalOutcome::Served);
+            CommandResult::Good { data: Bytes::new(), transferred: length }
         }
-        Answer::Served(content, flight) => {
-            let whole = timeout_at(command.deadline, content.collect(length)).await.ok().flatten();
-            match whole.filter(|data| data.len() == length) {
+        Answer::Served(content, request_guard) => {
+            let body = timeout_at(command.deadline, content.collect(length)).await.ok().flatten();
+            match body.filter(|data| data.len() == length) {
                 Some(data) => {
-                    flight.finish(FinalOutcome::Served);
-                    CommandResult::Good { data, moved: length }
+                    request_guard.finish(FinalOutcome::Served);
+                    CommandResult::Good { data, transferred: length }
                 }
                 None => {
-                    flight.finish(FinalOutcome::Failed);
+                    request_guard.finish(FinalOutcome::Failed);
                     log::warn!("block: not the {length} bytes that were to be read");
-                    CommandResult::Check(scsi::READ_ERROR)
+                    CommandResult::CheckCondition(scsi::READ_ERROR)
                 }
             }
         }
-        Answer::Rejected { retry_after_s: wait } => CommandResult::Refused { wait },
-        Answer::Failed => CommandResult::Check(scsi::NO_ANSWER),
+        Answer::Rejected { retry_after_s } => CommandResult::Busy { retry_after_s },
+        Answer::Failed => CommandResult::CheckCondition(scsi::NO_ANSWER),
     }
 }
--- a/src/frontend/block/session/task.rs
+++ b/src/frontend/block/session/task.rs
@@ -1,83 +1,83 @@
-//! The commands that a session has in hand, and what they come to.
+//! Outstanding commands of a session and their results.
 
-use super::super::config::Place;
+use super::super::config::BlockRange;
 use super::super::scsi::Sense;
 use crate::core::Operation;
 use bytes::{Bytes, BytesMut};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// A command that has come to its end.
+/// A completed command.
 pub struct Finished {
     /// The initiator task tag.
     pub task: u32,
-    /// Bytes that the initiator expects to move.
+    /// Expected data transfer length, in bytes.
     pub expected_length: usize,
-    /// What it came to.
+    /// Result of the command.
     pub result: CommandResult,
 }
 
-/// What a command came to.
+/// The result of a command.
 pub enum CommandResult {
-    /// Done: the data of a read, and the bytes that the command moved either way.
+    /// GOOD: the command completed.
     Good {
-        /// The data of a read.
+        /// Data of a read; empty for a write.
         data: Bytes,
-        /// Bytes that it moved.
-        moved: usize,
+        /// Bytes that the command transferred in either direction.
+        transferred: usize,
     },
-    /// CHECK CONDITION with this sense.
-    Check(Sense),
-    /// BUSY: refused; try again after so many seconds.
-    Refused {
-        /// Seconds to wait; 0 for no advice.
-        wait: f64,
+    /// CHECK CONDITION with this sense data.
+    CheckCondition(Sense),
+    /// BUSY: the core rejected the request.
+    Busy {
+        /// Seconds after which to retry; 0 if unspecified.
+        retry_after_s: f64,
     },
     /// TASK SET FULL.
     TaskSetFull,
 }
 
-/// A command in hand.
+/// An outstanding command.
 pub enum Task {
-    /// Its data still come in.
+    /// A write whose data has not arrived completely.
     Receiving(WriteTransfer),
-    /// The core serves it.
+    /// A command whose request is in progress; the handle cancels the request.
     Running(AbortHandle),
 }
 
-/// A command that moves blocks.
+/// A SCSI command that reads or writes blocks.
 #[derive(Clone, Copy)]
 pub struct BlockCommand {
     /// The initiator task tag.
     pub task: u32,
-    /// The logical unit.
+    /// Logical unit number.
     pub lun: u16,
-    /// The command's number (CmdSN).
+    /// Command sequence number (CmdSN).
     pub cmd_sn: u32,
     /// Read or write.
-    pub verb: Operation,
-    /// Where its blocks lie.
-    pub place: Place,
-    /// When it is answered at the latest.
+    pub operation: Operation,
+    /// Location of the blocks.
+    pub range: BlockRange,
+    /// Time by which the command must be answered.
     pub deadline: Instant,
-    /// Bytes that the initiator expects to move.
+    /// Expected data transfer length, in bytes.
     pub expected_length: usize,
 }
 
-/// A write whose data are not whole yet.
+/// A write that waits for more data.
 pub struct WriteTransfer {
     /// The command.
     pub command: BlockCommand,
-    /// Its logical unit's field, as R2T repeats it.
+    /// LUN field of the command, which R2T PDUs repeat.
     pub lun_field: [u8; 8],
-    /// The data so far.
+    /// Data received so far.
     pub data: BytesMut,
-    /// The target transfer tag of the burst under way.
+    /// Target transfer tag of the current burst.
     pub transfer_tag: u32,
-    /// Bytes of data at the end of that burst.
+    /// Offset of the end of the current burst, in bytes.
     pub burst_end: usize,
-    /// The number of the next Data-Out in it (DataSN).
+    /// DataSN expected of the next Data-Out in the burst.
     pub data_sn: u32,
-    /// The number of the next R2T (R2TSN).
+    /// R2TSN of the next R2T.
     pub r2t_sn: u32,
 }
--- a/src/frontend/block/session/write_data.rs
+++ b/src/frontend/block/session/write_data.rs
@@ -1,4 +1,4 @@
-//! The data of writes: bursts that are asked for (R2T), Data-Out PDUs, and writes given up since data never came.
+//! Data of writes: requests bursts (R2T), receives Data-Out PDUs and fails writes whose data does not arrive in time.
 
 use super::super::error::SessionError;
 use super::super::pdu::{NO_TAG, Pdu, response};
@@ -8,26 +8,26 @@
 use crate::core::Transport;
 use tokio::time::Instant;
 
-/// The flag of the last Data-Out of a burst.
+/// Flag of the last Data-Out PDU of a burst.
 const FINAL: u8 = 0x80;
 
 impl<T: Transport + 'static> Session<T> {
-    /// Hands a write whose data are whole to the core, or asks for the next burst.
+    /// Starts a write whose data is complete, or requests its next burst.
     pub(super) async fn receive(&mut self, mut transfer: WriteTransfer) -> Result<(), SessionError> {
-        let (BlockCommand { task, place, .. }, have) = (transfer.command, transfer.data.len());
-        if have == place.length {
+        let (BlockCommand { task, range, .. }, received) = (transfer.command, transfer.data.len());
+        if received == range.length {
             self.start(transfer.command, transfer.data.freeze());
             return Ok(());
         }
-        let length = (place.length - have).min(self.params.max_burst);
+        let length = (range.length - received).min(self.params.max_burst);
         transfer.transfer_tag = self.next_transfer_tag();
-        transfer.burst_end = have + length;
+        transfer.burst_end = received + length;
         transfer.data_sn = 0;
         let mut ready = Pdu::new(response::R2T, 0x80, task)
-            .with(20, transfer.transfer_tag)
-            .with(36, transfer.r2t_sn)
-            .with(40, have as u32)
-            .with(44, length as u32);
+            .with_u32(20, transfer.transfer_tag)
+            .with_u32(36, transfer.r2t_sn)
+            .with_u32(40, received as u32)
+            .with_u32(44, length as u32);
         ready.header[8..16].copy_from_slice(&transfer.lun_field);
         transfer.r2t_sn += 1;
         self.tasks.insert(task, Task::Receiving(transfer));
@@ -40,25 +40,29 @@
             Some(Task::Receiving(transfer)) => transfer,
             Some(running) => {
                 self.tasks.insert(task, running);
-                return self.protocol_error(&pdu, "data for a command that has them all").await;
+                return self.protocol_error(&pdu, "Data-Out for a command that expects no more data").await;
             }
-            // Of a command that was aborted or given up meanwhile: to be discarded.
+            // Data of a command that was aborted or timed out is discarded.
             None => return Ok(false),
         };
-        let have = transfer.data.len();
-        let fits = pdu.at(20) == transfer.transfer_tag
-            && pdu.at(36) == transfer.data_sn
-            && pdu.at(40) as usize == have
-            && have + pdu.data.len() <= transfer.burst_end;
+        let received = transfer.data.len();
+        let fits = pdu.u32_at(20) == transfer.transfer_tag
+            && pdu.u32_at(36) == transfer.data_sn
+            && pdu.u32_at(40) as usize == received
+            && received + pdu.data.len() <= transfer.burst_end;
         if !fits {
-            return self.protocol_error(&pdu, "data out of turn").await;
+            return self
+                .protocol_error(&pdu, "Data-Out with an unexpected tag, DataSN, offset or length")
+                .await;
         }
         transfer.data.extend_from_slice(&pdu.data);
         transfer.data_sn += 1;
         let last = pdu.flags() & FINAL != 0;
-        let whole = transfer.data.len() == transfer.burst_end;
-        if last != whole {
-            return self.protocol_error(&pdu, "a burst of another length than asked for").await;
+        let is_burst_complete = transfer.data.len() == transfer.burst_end;
+        if last != is_burst_complete {
+            return self
+                .protocol_error(&pdu, "burst length differs from the length that R2T requested")
+                .await;
         }
         if last {
             self.receive(transfer).await?;
@@ -68,8 +72,8 @@
         Ok(false)
     }
 
-    /// When the first write whose data are not whole is given up.
-    pub(super) fn first_deadline(&self) -> Option<Instant> {
+    /// Returns the earliest deadline of the writes that wait for data.
+    pub(super) fn first_data_deadline(&self) -> Option<Instant> {
         let receiving = self.tasks.values().filter_map(|task| match task {
             Task::Receiving(transfer) => Some(transfer.command.deadline),
             Task::Running(_) => None,
@@ -77,20 +81,21 @@
         receiving.min()
     }
 
-    /// Ends writes whose data never came whole; nothing of them was sent.
-    pub(super) async fn give_up_data(&mut self) -> Result<(), SessionError> {
+    /// Ends writes whose data did not arrive by their deadline; no request was sent for them.
+    pub(super) async fn fail_overdue_writes(&mut self) -> Result<(), SessionError> {
         let now = Instant::now();
-        let is_late = |task: &Task| matches!(task, Task::Receiving(write) if write.command.deadline <= now);
-        let late: Vec<u32> =
-            self.tasks.iter().filter(|(_, task)| is_late(task)).map(|(tag, _)| *tag).collect();
-        for task in late {
-            let result = CommandResult::Check(scsi::DATA_PHASE);
+        let is_overdue =
+            |task: &Task| matches!(task, Task::Receiving(write) if write.command.deadline <= now);
+        let overdue: Vec<u32> =
+            self.tasks.iter().filter(|(_, task)| is_overdue(task)).map(|(tag, _)| *tag).collect();
+        for task in overdue {
+            let result = CommandResult::CheckCondition(scsi::DATA_PHASE);
             self.finish(Finished { task, expected_length: 0, result }).await?;
         }
         Ok(())
     }
 
-    /// A target transfer tag; never the one that stands for none.
+    /// Returns a new target transfer tag; never the reserved value that stands for no tag.
     pub(super) fn next_transfer_tag(&mut self) -> u32 {
         self.last_transfer_tag = self.last_transfer_tag.wrapping_add(1);
         if self.last_transfer_tag == NO_TAG {
--- a/src/frontend/block/shared.rs
+++ b/src/frontend/block/shared.rs
@@ -1,4 +1,5 @@
-//! What all sessions of the block front share: the core, the target, and the ids of this life.
+//! State shared by all sessions of the block frontend: the request core, the target's configuration and the
+//! generator of request identifiers.
 
 use super::config::Target;
 use super::login::Params;
@@ -11,28 +12,29 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What all sessions share.
+/// The block frontend, shared by all of its connections and sessions.
 pub struct BlockFrontend<T> {
-    /// The core.
+    /// Dispatches requests to storage nodes.
     pub dispatcher: Rc<Dispatcher>,
-    /// The way to the nodes.
+    /// Sends requests to storage nodes.
     pub transport: Rc<T>,
-    /// The target and its logical units.
+    /// Configuration of the target and its logical units.
     pub target: Target,
-    /// The program's phase.
+    /// Lifecycle of the process: accepts connections and announces the shutdown.
     pub phases: Rc<Lifecycle>,
-    /// The descriptors.
+    /// Budget of file descriptors.
     pub budget: Rc<DescriptorBudget>,
-    /// The counts.
+    /// Metrics of the process.
     pub counters: Rc<Counters>,
-    /// This life of the head, in keys: no two lives give the same one.
-    pub life: String,
+    /// Identifies this run of the process in idempotency keys, so that keys of different runs never collide.
+    pub run_id: String,
     ids: Cell<u64>,
     sessions: SessionRegistry,
 }
 
 impl<T: Transport + 'static> BlockFrontend<T> {
-    /// A front without sessions; `seed` makes ids and keys of this life its own.
+    /// Creates a frontend without sessions. `seed` must differ for each run of the process: request identifiers and
+    /// idempotency keys derive from it.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         transport: Rc<T>,
@@ -42,7 +44,7 @@
         counters: Rc<Counters>,
         seed: u64,
     ) -> Rc<BlockFrontend<T>> {
-        let life = format!("{seed:016x}");
+        let run_id = format!("{seed:016x}");
         let (ids, sessions) = (Cell::new(seed), SessionRegistry::default());
         Rc::new(BlockFrontend {
             dispatcher,
@@ -51,13 +53,14 @@
             phases,
             budget,
             counters,
-            life,
+            run_id,
             ids,
             sessions,
         })
     }
 
-    /// An id that no other request has: the next of a stream that visits every number once (splitmix64).
+    /// Returns a request identifier that no earlier request of this process has: the next output of a splitmix64
+    /// generator, whose period covers every 64-bit number once.
     pub fn fresh_id(&self) -> Bytes {
         let state = self.ids.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
         self.ids.set(state);
@@ -66,7 +69,8 @@
         format!("{:016x}", mixed ^ mixed >> 31).into()
     }
 
-    /// A place for a session that is about to begin; an older one of the same port ends.
+    /// Registers a session that completes its login and ends an older one of the same initiator port. Returns `None`
+    /// if the target has no room for another session.
     pub fn open(&self, params: &Params) -> Option<SessionHandle> {
         let port = InitiatorPort { initiator: params.initiator.clone(), isid: params.isid };
         self.sessions.open(port, self.target.max_sessions)
