--- a/tests/scenarios_bodies.rs
+++ b/tests/scenarios_bodies.rs
@@ -1,4 +1,4 @@
-//! Streamed bodies, slow clients and nodes, and all forms of HTTP/1.1 framing.
+//! Streamed bodies, slow clients and nodes, and each form of HTTP/1.1 framing.
 
 mod peers;
 use peers::*;
@@ -25,9 +25,9 @@
 }
 
 /// Guards against buffering long responses, against cutting them off at the deadline while the node still sends, and
-/// against a break that looks like an end or is retried.
+/// against truncated responses that the client takes for complete or that are retried.
 #[test]
-fn a_long_response_is_streamed_and_a_break_in_it_is_visible() {
+fn a_long_response_is_streamed_and_its_truncation_is_visible() {
     let (go, body) = (Arc::new(Barrier::new(2)), body_of(1 << 20));
     let (held, long) = (go.clone(), body.clone());
     let node = Brick::start(move |number, _| {
@@ -47,23 +47,27 @@
         assert!(start.starts_with("HTTP/1.1 200 OK\r\n") && start.contains(form), "{start}");
         sleep(Duration::from_millis(1100)); // the deadline passes
         go.wait();
-        let all = [start.into_bytes(), client.rest()].concat();
+        let response = [start.into_bytes(), client.rest()].concat();
         assert!(
-            all.len() > body.len()
-                && all.ends_with(if form.len() == 23 { &body[body.len() - 9..] } else { b"\r\n0\r\n\r\n" })
+            response.len() > body.len()
+                && response.ends_with(if form.len() == 23 {
+                    &body[body.len() - 9..]
+                } else {
+                    b"\r\n0\r\n\r\n"
+                })
         );
     }
     let mut client = Client::new(head.http);
     client.send(&read_request(), b"");
     go.wait();
-    assert!(client.answer().is_none(), "one byte is missing, and the client can tell");
+    assert!(client.answer().is_none(), "the client detects the missing byte");
     assert_eq!((node.seen().len(), head.counter("served"), head.counter("failed")), (3, 2, 1));
 }
 
-/// Guards against buffering long uploads, against a retry of what was not buffered, and against taking a slow client
-/// for a dead one or a stalled one for slow.
+/// Guards against buffering long uploads, against retrying an upload that was not buffered, against a timeout for a slow
+/// client that still sends, and against waiting for a stalled one.
 #[test]
-fn a_long_upload_is_streamed_once_and_timed_by_its_pace() {
+fn a_long_upload_is_streamed_once_and_times_out_only_if_it_stalls() {
     let node = Brick::start(|number, m| match number {
         0 => Step::Serve(m.body.len().to_string().into()),
         _ => Step::Status(503, true),
@@ -74,7 +78,11 @@
     assert_eq!(client.ask(&write_request(body.len()), &body).body, b"1048576");
     assert_eq!(node.seen()[0].body, body);
     let refused = Client::new(head.http).ask(&write_request(body.len()), &body);
-    assert_eq!((refused.status(), node.seen().len()), (503, 2), "it never ran, and can't go again");
+    assert_eq!(
+        (refused.status(), node.seen().len()),
+        (503, 2),
+        "it did not run, and its body cannot be sent again"
+    );
     let mut slow = Client::new(head.http);
     let (whole, piece) = (write_request(130_000), body_of(13_000));
     let (start, end) = whole.split_at(40);
@@ -86,13 +94,13 @@
         slow.send("", &piece);
     }
     assert_eq!(slow.answer().expect("an answer").status(), 503);
-    assert_eq!(node.seen()[2].body.len(), 130_000, "slow, but all of it");
+    assert_eq!(node.seen()[2].body.len(), 130_000, "the slow upload is complete");
     let mut stalled = Client::new(head.http);
     stalled.send(&write_request(130_000), &piece);
     assert_eq!(stalled.answer().expect("an answer").status(), 408);
 }
 
-/// Guards against misreading a form of HTTP/1.1: what follows a chunked body is a request of its own.
+/// Guards against misparsing HTTP/1.1 framing: the bytes after a chunked body are a new request.
 #[test]
 fn all_forms_of_requests_and_responses_are_understood() {
     let node = Brick::start(|_, m| {
@@ -114,7 +122,7 @@
     let mut client = Client::new(head.http);
     client.send(&format!("{}{body}{absolute}{}", chunked(""), read_request()), b"");
     let answers: Vec<_> = (0..3).map(|_| client.answer().expect("an answer").body).collect();
-    assert_eq!(answers, [&b"abcde"[..], b"-", b"-"], "three requests in one go");
+    assert_eq!(answers, [&b"abcde"[..], b"-", b"-"], "three pipelined requests");
     assert!(node.seen()[1].line.starts_with("GET /play-fetch/"));
     client.send(&chunked("Expect: 100-continue\r\n"), b"");
     assert_eq!(client.answer().expect("a go-ahead").status(), 100);
@@ -125,5 +133,5 @@
         + &write_request(0).replace("Content-Length: 0", "Content-Length: 3\r\nTransfer-Encoding: chunked");
     client.send(&hidden, b"0\r\n\r\n");
     assert_eq!([client.answer(), client.answer()].map(|a| a.expect("an answer").status()), [200, 400]);
-    assert_eq!(node.seen().len(), 5, "a doubtful one after a chunked one goes nowhere");
+    assert_eq!(node.seen().len(), 5, "an ambiguous request after a chunked one is not forwarded");
 }
--- a/tests/scenarios_levels.rs
+++ b/tests/scenarios_levels.rs
@@ -1,4 +1,4 @@
-//! Load shedding by levels in a running head.
+//! Load shedding by shedding levels in a running head.
 
 mod peers;
 use peers::*;
@@ -7,13 +7,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Levels that change fast, so that a scenario does not take long.
+/// Shedding levels with short windows, so that the tests are fast.
 const FAST_LEVELS: &str = "[levels]\nperiod_s = 0.05\nsilent_after_s = 0.3\n\
     [levels.hall]\nwindow_s = 0.3\ndwell_s = 0.3\n\
     [[levels.hall.level]]\nname = \"hall-cut\"\nlets = [{ pass = \"nothing\" }]\n\
     enter = { nodes_lost = 0.75 }\nleave = { nodes_lost = 0.5 }\n";
 
-/// An operators' file with this text, removed at the end of the test.
+/// An operators' file that is removed at the end of the test.
 struct OperatorsFile {
     path: PathBuf,
 }
@@ -37,7 +37,7 @@
     }
 }
 
-/// A folder that processes of one head share, removed at the end of the test.
+/// A folder that the processes of one head share; it is removed at the end of the test.
 struct SharedFolder {
     path: PathBuf,
 }
@@ -72,7 +72,7 @@
     Client::new(head.http).ask(&read_request(), b"")
 }
 
-/// The level of a scope, as the admin server shows it.
+/// Returns the shedding level of a scope, as the admin server reports it.
 fn level(head: &Head, scope: &str) -> String {
     let (status, text) = call(head.ops, "GET", "/ops/levels");
     assert_eq!(status, 200, "{text}");
@@ -84,14 +84,15 @@
     }
 }
 
-/// A node that answers everything, and the endpoint list with it.
+/// Starts a node that answers each request, and an endpoint list with that node.
 fn one_node() -> (Brick, Discovery) {
     let node = Brick::start(|_, _| Step::Serve(vec![]));
     let discovery = Discovery::start(&[entry("s-1", node.address, 0, "ready")]);
     (node, discovery)
 }
 
-/// Guards against a head that forwards into a zone that does not answer, and against one that never goes back.
+/// Guards against a head that keeps sending work into a zone that does not answer, and against one that never uses the
+/// zone again.
 #[test]
 fn a_silent_zone_gets_trials_only_and_is_used_again_when_it_answers() {
     let is_silent = Arc::new(AtomicBool::new(true));
@@ -110,9 +111,9 @@
     first.send(&read_request(), b"");
     wait(|| (level(&head, "a") == "hall-cut").then_some(()));
     let line = wait(|| head.logged("a: normal -> hall-cut: nodes_lost at 1.000"));
-    assert!(line.contains("WARN"), "one line a transition: {line}");
+    assert!(line.contains("WARN"), "one log line per transition: {line}");
 
-    // One request is the trial; the others are rejected at once, with the time to come again.
+    // One request is the trial; the others are rejected at once, with a retry-after time.
     let mut trial = Client::new(head.http);
     trial.send(&read_request(), b"");
     let sent_at = Instant::now();
@@ -129,7 +130,7 @@
     assert_eq!(send_read(&head).status(), 200);
 }
 
-/// Guards against overrides without a name or a reason, without an end, or of what is not there.
+/// Guards against overrides without a name, a reason or an end, and against overrides of unknown scopes or levels.
 #[test]
 fn requests_with_mistakes_set_no_level() {
     let (_node, discovery) = one_node();
@@ -153,7 +154,7 @@
     assert_eq!(level(&head, "head"), "normal");
 }
 
-/// Guards against overrides that a crash or an upgrade loses.
+/// Guards against losing an override in a crash or an upgrade.
 #[test]
 fn an_override_survives_a_crash_and_an_upgrade_until_it_is_released() {
     let (_node, discovery) = one_node();
@@ -168,17 +169,17 @@
 
     drop(head);
     let restarted = start(&discovery, &file, Some(&folder));
-    assert_eq!(level(&restarted, "head"), "saves-limited", "killed while it was set");
+    assert_eq!(level(&restarted, "head"), "saves-limited", "after a crash");
     let newer = start(&discovery, &file, Some(&folder));
-    assert_eq!(level(&newer, "head"), "saves-limited", "taken over");
+    assert_eq!(level(&newer, "head"), "saves-limited", "after an upgrade");
 
     let release = "/ops/levels/release?scope=head&who=bob&why=it+passed";
     assert_eq!(call(newer.ops, "PUT", release).0, 200);
     wait(|| restarted.logged("released by bob: it passed"));
 }
 
-/// Guards against a reload that takes over settings that contradict themselves, and against one that does not switch
-/// load shedding off and on.
+/// Guards against a reload that accepts contradictory settings, and against one that does not switch load shedding off and
+/// on.
 #[test]
 fn a_reload_rejects_contradictions_and_switches_levels_off_and_on() {
     let (_node, discovery) = one_node();
--- a/tests/scenarios_ops.rs
+++ b/tests/scenarios_ops.rs
@@ -1,4 +1,4 @@
-//! Exports of counters, the plug-in and the files under deploy/, against test servers.
+//! Export of counters to Graphite and collectd, the plug-in, and the files under deploy/, against test servers.
 
 mod peers;
 use flaxgap::metrics::counters::Counters;
@@ -48,12 +48,15 @@
     for _ in 0..2 {
         let (stream, _) = graphite.accept().expect("the head comes");
         let mut lines = BufReader::new(stream).lines().map_while(Result::ok);
-        assert!(lines.any(|line| line.starts_with("p.n0.served 1 ")), "then the connection is closed");
+        assert!(
+            lines.any(|line| line.starts_with("p.n0.served 1 ")),
+            "the counters arrive, and then the test closes the connection"
+        );
     }
 }
 
 #[test]
-fn collectd_gets_a_putval_for_each_counter_and_is_heard() {
+fn collectd_gets_a_putval_for_each_counter_and_its_errors_are_logged() {
     let node = Brick::start(|_, _| Step::Serve(vec![]));
     let socket = std::env::temp_dir().join(format!("flaxgap-collectd-{}", std::process::id()));
     let collectd = UnixListener::bind(&socket).expect("a socket");
@@ -66,13 +69,13 @@
     out.write_all(b"0 Success: 1 value has been dispatched.\n").expect("written");
     assert!(lines.next().expect("the next value").contains("derive-served"));
     out.write_all(b"-1 No such type.\n").expect("written");
-    assert!(lines.next().is_none(), "given up for this time");
+    assert!(lines.next().is_none(), "the export ends after an error");
     wait(|| head.logged("value rejected: -1 No such type."));
     std::fs::remove_file(socket).expect("removed");
 }
 
 #[test]
-fn a_script_sees_requests_and_answers_and_can_neither_decide_nor_run_on() {
+fn a_script_sees_requests_and_answers_and_can_neither_decide_nor_run_without_end() {
     let node = Brick::start(|_, _| Step::Serve(vec![]));
     let script = write_file(
         "script",
@@ -86,7 +89,7 @@
     }
     wait(|| head.logged("seen 00000000000000b2 1.0"));
     wait(|| head.logged("answer 2 served"));
-    assert_eq!(head.counter("plugin_failures"), 2, "the loop was cut short each time");
+    assert_eq!(head.counter("plugin_failures"), 2, "the loop was stopped each time");
     let greedy =
         write_file("greedy", "fn on_request(r) { this.all = \"\"; loop { this.all += \"0123456789\"; } }");
     let text = format!("[plugin]\nscript = {greedy:?}\nmax_steps = 100000\nmax_size = 64\n");
@@ -94,14 +97,14 @@
     for _ in 0..12 {
         assert_eq!(read_status(&head), 200);
     }
-    assert_eq!(head.counter("plugin_failures"), 10, "and then it is switched off");
+    assert_eq!(head.counter("plugin_failures"), 10, "the plug-in is switched off after 10 failures");
     wait(|| head.logged("switched off"));
     for path in [script, greedy] {
         std::fs::remove_file(path).expect("removed");
     }
 }
 
-/// Guards against shipping files that the program would not start with, and against unclear complaints.
+/// Guards against shipping configuration files that the program rejects, and against unclear error messages.
 #[test]
 fn the_files_under_deploy_are_served_and_bad_ones_are_named() {
     use flaxgap::config::operators_file::OperatorsFile;
@@ -111,7 +114,10 @@
     let block = include_str!("../deploy/block.toml");
     assert_eq!(Target::parse(block, &settings, &wire_settings).expect("served").luns.len(), 2);
     let ops = OperatorsFile::load("deploy/ops.toml").expect("served");
-    assert!(ops.graphite.is_none() && ops.collectd.is_none() && ops.plugin.is_none(), "all off");
+    assert!(
+        ops.graphite.is_none() && ops.collectd.is_none() && ops.plugin.is_none(),
+        "the exports and the plug-in are off by default"
+    );
     let bounds = plugin::PluginConfig { script: "deploy/plugin.rhai".into(), max_steps: 2000, max_size: 256 };
     plugin::Plugin::load(&bounds, Default::default()).expect("compiles");
     let bad = [
--- a/tests/scenarios_uploads.rs
+++ b/tests/scenarios_uploads.rs
@@ -1,14 +1,13 @@
-//! Long uploads and the clients that leave behind what they sent.
+//! Long uploads whose clients disconnect after they have sent a part of the body.
 //!
-//! What happened: a client wrote 350 KB of an upload and left. The head had read the upload's head; the receive buffer held
-//! 128 KB, the client's own system the rest, and the connection's end behind that. The head looked at its socket right
-//! before it sent the request on, saw unread bytes and no end, and took the client for connected: of 844 attempts that began
-//! after their client's close 541 began over 0.1 s later, the latest 0.58 s (`standing_terms_close.rs`, "an upload past what the
-//! system holds"). That no end can be seen behind a full receive buffer was shown by filling one: 98 to 128 KB arrive, and
-//! no more until some of it is read (`docs/incidents/uploads-of-gone-clients.md`).
+//! They guard against attempts for clients that have left. A head cannot see the end of a connection behind a full receive
+//! buffer, which holds 98 to 128 KB until some of it is read; the rest of a 350 KB upload, and the FIN, stay in the client's
+//! system. Before the fix, a head that checked its socket before an attempt saw unread bytes and took the client for
+//! connected: of 844 attempts that began after their client's close, 541 began over 0.1 s later, the latest 0.58 s later
+//! (`standing_terms_close.rs`, "an upload past what the system holds"; `docs/incidents/uploads-of-gone-clients.md`).
 //!
-//! These tests force what that one leaves to chance: no memory to read ahead into, bodies of all lengths and framings whose
-//! client stays, and the same on the other frontends.
+//! These tests force the conditions that occur there only by chance: no memory to read ahead into, bodies of several lengths
+//! and framings whose clients stay connected, and the same on the other frontends.
 
 mod peers;
 
@@ -22,25 +21,26 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long before a node comes the clients leave. An attempt may begin up to 0.1 s after that.
+/// Time between the clients' disconnect and the first node. An attempt may begin up to 0.1 s after a disconnect.
 const LEFT_BEFORE: Duration = Duration::from_millis(160);
-/// For how long attempts that begin late are waited for.
+/// Time for which the tests wait for late attempts.
 const SETTLE: Duration = Duration::from_millis(800);
-/// The shard without a node at first.
+/// Shard that has no node at first.
 const SHARD: u32 = 1;
 
 fn recorder() -> Recorder {
     Recorder::start(Duration::ZERO, Duration::ZERO)
 }
 
-/// A head whose shard 0 has a node and whose other shards have none.
-fn head_before(recorder: &Recorder, edit: impl Fn(String) -> String) -> (Discovery, Head) {
+/// Starts a head with a node for shard 0 and no node for the other shards. `edit` changes its configuration.
+fn head_with_node_for_shard_0(recorder: &Recorder, edit: impl Fn(String) -> String) -> (Discovery, Head) {
     let discovery = Discovery::start(&[entry("s-0", recorder.address, 0, "ready")]);
     let head = Head::start_text(&edit(config(&discovery, 1024, "null")), None, &[]);
     (discovery, head)
 }
 
-fn give_node(discovery: &Discovery, recorder: &Recorder) {
+/// Adds a node for [`SHARD`] to the endpoint list.
+fn add_node(discovery: &Discovery, recorder: &Recorder) {
     discovery.push(&[entry("s-1", recorder.address, SHARD, "ready")]);
 }
 
@@ -60,7 +60,7 @@
     Chunked,
 }
 
-/// A client that has sent the head of an upload and a part of its body.
+/// A client that has sent the header of an upload and a part of its body.
 struct Uploader {
     stream: TcpStream,
     id: String,
@@ -80,7 +80,7 @@
         Uploader { stream, id: id_of(&request), framing }
     }
 
-    /// Sends some of the body; an error where the head has ended the connection.
+    /// Sends a part of the body. Fails if the head has closed the connection.
     fn send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         match self.framing {
             Framing::Length => self.stream.write_all(bytes),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Ends the body and gives the status of its answer; none if the connection ended without one.
+    /// Ends the body and returns the status of the answer, or `None` if the connection ended without one.
     fn finish(&mut self) -> Option<u16> {
         if let Framing::Chunked = self.framing {
             self.stream.write_all(b"0\r\n\r\n").ok()?;
@@ -106,12 +106,12 @@
     }
 }
 
-/// Given uploads of 1 and 33 MB, with a length and chunked, when their client sends as fast as it can, then each comes
-/// whole at its node, and what was read ahead is given back.
+/// Uploads of 1 and 33 MB, with Content-Length and chunked, from a client that sends as fast as it can, are received
+/// completely by the node, and the memory for reading ahead is freed.
 #[test]
-fn long_uploads_of_clients_that_stay_come_whole() {
+fn long_uploads_of_clients_that_stay_are_received_completely() {
     let recorder = recorder();
-    let (_discovery, head) = head_before(&recorder, |text| text);
+    let (_discovery, head) = head_with_node_for_shard_0(&recorder, |text| text);
     for framing in [Framing::Length, Framing::Chunked] {
         for length in [1 << 20, 33 << 20] {
             let mut client = Uploader::start(head.http, framing, length, 0);
@@ -127,14 +127,14 @@
     assert_eq!(head.counter("served"), 4);
 }
 
-/// Given a client that sends a byte every 0.4 s, or one that sends 300 KB a second without a pause, when its upload waits
-/// for a node, then it counts as connected and is served.
+/// A client whose upload waits for a node counts as connected and is served, whether it sends a byte every 0.4 s or
+/// 300 KB/s without a pause.
 #[test]
-fn slow_clients_of_uploads_that_wait_are_connected() {
+fn slow_clients_of_waiting_uploads_count_as_connected() {
     const LENGTH: usize = 900_000;
     for (piece, pause_ms) in [(1, 400), (600, 2)] {
         let recorder = recorder();
-        let (discovery, head) = head_before(&recorder, |text| text);
+        let (discovery, head) = head_with_node_for_shard_0(&recorder, |text| text);
         let http = head.http;
         let client = std::thread::spawn(move || {
             let mut client = Uploader::start(http, Framing::Length, LENGTH, SHARD);
@@ -146,21 +146,21 @@
             }
             client.finish()
         });
-        // Well under half of its time, after which the scheduler would rather reject it.
+        // Well under half of the deadline, after which the scheduler would reject the request.
         sleep(Duration::from_millis(300));
-        assert!(recorder.attempts.lock().expect("attempts").is_empty(), "there is no node yet");
-        give_node(&discovery, &recorder);
+        assert!(recorder.attempts.lock().expect("attempts").is_empty(), "no attempt before a node is listed");
+        add_node(&discovery, &recorder);
         assert_eq!(client.join().expect("the client"), Some(200), "{piece} bytes at a time");
         assert_eq!(head.counter("held_back_unconfirmed"), 0);
     }
 }
 
-/// Given a long upload that its node has whole, when the node ends the connection without an answer, then the upload may have
-/// run: it fails, and is not rejected as if a retry were harmless. One that its node never had whole is.
+/// If a node closes the connection without an answer after it has received a long upload completely, the upload may have
+/// run: it fails with 502, and is not rejected with 503, which means that it had no effect. An upload that the node did not
+/// receive completely is rejected.
 ///
-/// What happened: an upload of 400 KB that a node had read to its last byte, and of which it then broke the connection, was
-/// answered with 503, which says that it had no effect; `attempts` counted 0 and `connect_failed` 1. One of 100 KB, which is
-/// buffered, was answered with 502 and counted as `reset`.
+/// Before the fix, a 400 KB upload that a node had read to the last byte was answered with 503, with `attempts` at 0 and
+/// `connect_failed` at 1. One of 100 KB, which is buffered, was answered with 502 and counted as `reset`.
 #[test]
 fn an_upload_whose_node_breaks_after_the_last_byte_is_not_rejected() {
     let node = Brick::start(|_, _| Step::Break);
@@ -183,9 +183,9 @@
     }
 }
 
-/// Given less memory for bodies than uploads wait with, so that most are not read while they wait, when half of their clients
-/// leave and a node comes, then no attempt begins for a client that left, and each that stayed has one answer: served, or
-/// rejected without effect. The memory is free at the end: one more upload is served.
+/// With too little memory to read most waiting uploads ahead, half of the clients disconnect before a node is added. No
+/// attempt begins for a client that left, and each client that stayed gets one answer: 200, or 503 without an effect. The
+/// memory is free at the end: one more upload is served.
 #[test]
 fn without_memory_to_read_ahead_no_attempt_begins_for_a_client_that_left() {
     const CLIENTS: usize = 60;
@@ -193,9 +193,9 @@
     const SENT: usize = 350_000;
     for framing in [Framing::Length, Framing::Chunked] {
         let recorder = recorder();
-        // 3 MB for all bodies.
-        let little = |text: String| text.replace(r#""memory_mb":192"#, r#""memory_mb":14"#);
-        let (discovery, head) = head_before(&recorder, little);
+        // Leaves 3 MB for all bodies.
+        let little_memory = |text: String| text.replace(r#""memory_mb":192"#, r#""memory_mb":14"#);
+        let (discovery, head) = head_with_node_for_shard_0(&recorder, little_memory);
         let mut clients: Vec<Uploader> = Vec::new();
         for _ in 0..CLIENTS {
             let mut client = Uploader::start(head.http, framing, LENGTH, SHARD);
@@ -207,7 +207,7 @@
             clients.into_iter().enumerate().partition(|(place, _)| place % 2 == 0);
         let left: Vec<String> = left.into_iter().map(|(_, client)| client.id).collect();
         sleep(LEFT_BEFORE);
-        give_node(&discovery, &recorder);
+        add_node(&discovery, &recorder);
         let answers: Vec<Option<u16>> = std::thread::scope(|scope| {
             let finishing: Vec<_> = stayed
                 .iter_mut()
@@ -233,8 +233,8 @@
     }
 }
 
-/// Given uploads over HTTP/2 that wait for a node with all sent that their windows allow, when their streams are reset, or
-/// their connection is closed, and the node comes, then no attempt begins for them, and one for a stream that stayed.
+/// HTTP/2 uploads wait for a node after they have sent nearly all that their flow-control windows allow. No attempt begins
+/// for a stream that was reset or whose connection was closed before the node is added; a stream that stayed is attempted.
 #[test]
 fn no_attempt_begins_for_an_http2_upload_that_was_reset_or_closed() {
     const STREAMS: u32 = 20;
@@ -257,7 +257,7 @@
         let id = fields.iter().find(|(name, _)| name == "x-correlation-id").expect("an id").1.clone();
         let head = frames::frame(kind::HEADERS, flag::END_HEADERS, stream, &frames::encode(&fields));
         let data = frames::frame(kind::DATA, 0, stream, &vec![b'x'; DATA]);
-        // Three frames fit a stream's window of 64 KB.
+        // Three DATA frames fit into a stream's window of 64 KB.
         (id, [head, data.clone(), data.clone(), data].concat())
     };
     let mut closing = Vec::new();
@@ -276,12 +276,12 @@
     let (staying_id, bytes) = upload(1);
     staying.send(&bytes);
     sleep(Duration::from_millis(50));
-    assert!(recorder.attempts.lock().expect("attempts").is_empty(), "there is no node yet");
+    assert!(recorder.attempts.lock().expect("attempts").is_empty(), "no attempt before a node is listed");
 
     resetting.send(&frames::frame(kind::RST_STREAM, 0, 1, &code::CANCEL.to_be_bytes()));
     drop(closing);
     sleep(LEFT_BEFORE);
-    give_node(&discovery, &recorder);
+    add_node(&discovery, &recorder);
     let since = Instant::now();
     while !recorder.began(&staying_id) && since.elapsed() < WAIT_TIMEOUT {
         sleep(Duration::from_millis(2));
@@ -292,8 +292,8 @@
     assert_eq!(ids.iter().filter(|id| recorder.began(id)).count(), 0, "their connections were closed");
 }
 
-/// Given block writes that are whole and wait for a node, with more of the initiator's requests behind them, when its
-/// connection is closed and the node comes, then no attempt begins for them.
+/// Complete block writes wait for a node, with more PDUs of the initiator queued behind them. No attempt begins for them if
+/// the initiator's connection is closed before the node is added.
 #[test]
 fn no_attempt_begins_for_a_block_write_whose_initiator_left() {
     let recorder = recorder();
@@ -307,13 +307,13 @@
             initiator.write(1, 4 * 128 + command, 1, &[7; 512]);
         }
         wait(|| (head.counter("taken") == 4 * (session + 1)).then_some(()));
-        // The target answers a ping; what is sent behind it is read all the same.
+        // The target reads and answers NOP-Out PDUs while the writes wait.
         for _ in 0..200 {
             initiator.request(0x40, 0x80, &[(20, 0xffff_ffff)], &[0; 4096]);
         }
     }
     sleep(LEFT_BEFORE);
-    give_node(&discovery, &recorder);
+    add_node(&discovery, &recorder);
     sleep(SETTLE);
     assert!(recorder.attempts.lock().expect("attempts").is_empty(), "the initiators have left");
     assert_eq!(head.counter("gone"), 16);
